--- a/fleet/boottime.go
+++ b/fleet/boottime.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot is the time since the machine started, with the time that it was
-// suspended. 0 where it cannot be read: the steady clock alone counts then.
+// sinceBoot returns the time since the machine started, including suspension. It
+// returns 0 if the clock cannot be read; then only the monotonic clock counts.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/fleet/builder.go
+++ b/fleet/builder.go
@@ -12,13 +12,13 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// builder turns items into views. It is not safe for concurrent use.
+// builder builds views from changes of the store. It is not safe for concurrent use.
 type builder struct {
 	dec Decoder
 	log *slog.Logger
-	// lapsedFor is how long an endpoint whose registration ended without
-	// notice stays a last resort.
-	lapsedFor time.Duration
+	// lapsedTTL is how long an endpoint whose registration lapsed remains
+	// usable as a last resort.
+	lapsedTTL time.Duration
 
 	config    *Config
 	endpoints map[string]Endpoint // by name
@@ -27,9 +27,9 @@
 	statuses  map[string]recordedStatus
 	withdrawn map[string]Withdrawn // by service, as recorded
 	entries   map[string]Entry
-	// quarantine is replaced with each change.
+	// quarantine is replaced, not modified, by each change: views share it.
 	quarantine *Quarantine
-	// entriesChanged: the last view has other entries.
+	// entriesChanged reports whether entries changed since the last view.
 	entriesChanged bool
 	last           *View
 }
@@ -39,13 +39,13 @@
 	revision kv.Revision
 }
 
-func newBuilder(dec Decoder, lapsedFor time.Duration, log *slog.Logger) *builder {
-	return &builder{dec: dec, log: log, lapsedFor: lapsedFor, endpoints: map[string]Endpoint{}, lapsed: map[string]Lapsed{},
+func newBuilder(dec Decoder, lapsedTTL time.Duration, log *slog.Logger) *builder {
+	return &builder{dec: dec, log: log, lapsedTTL: lapsedTTL, endpoints: map[string]Endpoint{}, lapsed: map[string]Lapsed{},
 		orders: map[string]Rollout{}, statuses: map[string]recordedStatus{}, withdrawn: map[string]Withdrawn{}, entries: map[string]Entry{}, last: EmptyView()}
 }
 
-// take notes one change.
-func (b *builder) take(e kv.Event, now time.Time) {
+// apply applies one change.
+func (b *builder) apply(e kv.Event, now time.Time) {
 	kind, name := b.dec.Classify(e.KV.Key)
 	if e.Type == kv.EventDelete {
 		b.remove(kind, name, e.KV.ModRevision, now)
@@ -54,17 +54,17 @@
 	var err error
 	switch kind {
 	case ItemConfig:
-		err = b.takeConfig(e.KV)
+		err = b.applyConfig(e.KV)
 	case ItemEndpoint:
-		b.takeEndpoint(name, e.KV)
+		b.applyEndpoint(name, e.KV)
 	case ItemRollout:
-		err = b.takeOrder(name, e.KV)
+		err = b.applyOrder(name, e.KV)
 	case ItemRolloutStatus:
-		err = b.takeStatus(name, e.KV)
+		err = b.applyStatus(name, e.KV)
 	case ItemWithdrawn:
-		err = b.takeWithdrawn(name, e.KV)
+		err = b.applyWithdrawn(name, e.KV)
 	case ItemQuarantined:
-		err = b.takeQuarantined(name, e.KV)
+		err = b.applyQuarantined(name, e.KV)
 	case ItemEntry:
 		var entry Entry
 		if err = json.Unmarshal(e.KV.Value, &entry); err == nil {
@@ -73,19 +73,19 @@
 		}
 	}
 	if err != nil {
-		// What was known before stays in force: a value that cannot be read
-		// tells nothing about what it replaces.
-		b.log.Error("fleet: stored value cannot be read; keeping the one before.", "key", e.KV.Key, "revision", e.KV.ModRevision, "error", err)
+		// The previous value stays in force: one that cannot be decoded
+		// says nothing about what it replaces.
+		b.log.Error("fleet: stored value cannot be read; keeping the previous one.", "key", e.KV.Key, "revision", e.KV.ModRevision, "error", err)
 	}
 }
 
-func (b *builder) takeConfig(item kv.KeyValue) error {
+func (b *builder) applyConfig(item kv.KeyValue) error {
 	c, err := b.dec.Config(item.Value)
 	if err != nil {
 		return err
 	}
 	if b.config != nil && c.Version < b.config.Version {
-		b.log.Warn("fleet: configuration has a lower version than the one in force; keeping that.", "version", c.Version, "in_force", b.config.Version)
+		b.log.Warn("fleet: configuration has a lower version than the one in force; ignoring it.", "version", c.Version, "in_force", b.config.Version)
 		return nil
 	}
 	b.config = c
@@ -93,15 +93,14 @@
 	return nil
 }
 
-func (b *builder) takeEndpoint(name string, item kv.KeyValue) {
+func (b *builder) applyEndpoint(name string, item kv.KeyValue) {
 	ep, err := b.dec.Endpoint(name, item.Value)
 	if err != nil {
-		// Another writer's: it names no endpoint, and what stood there before is
-		// overwritten. If the endpoint lives it registers again with its next
-		// heartbeat.
+		// Written by another writer: it names no endpoint, and the previous registration
+		// is overwritten. A live endpoint registers again with its next heartbeat.
 		delete(b.endpoints, name)
 		delete(b.lapsed, name)
-		b.log.Error("fleet: registration names no endpoint.", "key", item.Key, "revision", item.ModRevision, "error", err)
+		b.log.Error("fleet: registration is invalid; endpoint removed.", "key", item.Key, "revision", item.ModRevision, "error", err)
 		return
 	}
 	ep.Registered = item.CreateRevision
@@ -109,7 +108,7 @@
 	b.endpoints[name] = ep
 	delete(b.lapsed, name)
 	if known && old.ID != ep.ID {
-		b.log.Warn("fleet: endpoint started again under its name.", "before", old.ID, "endpoint", ep.ID, "revision", item.ModRevision)
+		b.log.Warn("fleet: endpoint restarted under the same name.", "before", old.ID, "endpoint", ep.ID, "revision", item.ModRevision)
 	}
 	if !known || old != ep {
 		b.log.Info("fleet: endpoint known.", "endpoint", ep.ID, "service", ep.Service, "domain", ep.Domain, "version", ep.Version,
@@ -117,7 +116,7 @@
 	}
 }
 
-func (b *builder) takeOrder(service string, item kv.KeyValue) error {
+func (b *builder) applyOrder(service string, item kv.KeyValue) error {
 	r, err := b.dec.Rollout(item.Value)
 	if err != nil {
 		return err
@@ -131,7 +130,7 @@
 	return nil
 }
 
-func (b *builder) takeStatus(service string, item kv.KeyValue) error {
+func (b *builder) applyStatus(service string, item kv.KeyValue) error {
 	s, err := b.dec.RolloutStatus(item.Value)
 	if err != nil {
 		return err
@@ -176,15 +175,15 @@
 	} else {
 		v.index()
 	}
-	holders := b.addressHolders()
+	owners := b.addressOwners()
 	for _, ep := range b.endpoints {
 		g := b.group(v, ep.Service)
-		if !ep.Draining && holders[ep.Address] == ep.Registered && !g.Withdrawn.has(ep.Version) {
+		if !ep.Draining && owners[ep.Address] == ep.Registered && !g.Withdrawn.has(ep.Version) {
 			g.Ready = append(g.Ready, ep)
 		}
 	}
 	for name, l := range b.lapsed {
-		if now.Sub(l.Since) > b.lapsedFor {
+		if now.Sub(l.Since) > b.lapsedTTL {
 			delete(b.lapsed, name)
 			continue
 		}
@@ -203,25 +202,24 @@
 	v.Entries, v.watchers = b.last.Entries, b.last.watchers
 	if b.entriesChanged {
 		v.Entries = sortedEntries(b.entries)
-		v.watchers = watchersOf(v.Entries)
+		v.watchers = selectWatchers(v.Entries)
 		b.entriesChanged = false
 	}
 	b.last = v
 	return v
 }
 
-// addressHolders are the registrations that the endpoints' addresses belong to: the
-// latest made for each. An endpoint that crashed and started again, or whose address was
-// given to another, is registered until its heartbeats have been missing for long.
-// Meanwhile a request for it reaches the one that has its address now, is rejected, and
-// costs a repeat: after a quarter of 124 endpoints had crashed, three hundred in two
-// seconds, and repeats were short for ten.
-func (b *builder) addressHolders() map[string]kv.Revision {
-	holders := make(map[string]kv.Revision, len(b.endpoints))
+// addressOwners returns the registration that owns each address: the latest one made. An
+// endpoint that crashed and restarted, or whose address was reassigned, stays registered
+// until it has missed heartbeats for long. Until then a request for it reaches the new
+// owner of the address, is rejected, and costs a retry: after a quarter of 124 endpoints
+// had crashed, there were 300 of these in two seconds, and retries ran short for ten seconds.
+func (b *builder) addressOwners() map[string]kv.Revision {
+	owners := make(map[string]kv.Revision, len(b.endpoints))
 	for _, ep := range b.endpoints {
-		holders[ep.Address] = max(holders[ep.Address], ep.Registered)
+		owners[ep.Address] = max(owners[ep.Address], ep.Registered)
 	}
-	return holders
+	return owners
 }
 
 func sortedEntries(byName map[string]Entry) []Entry {
@@ -232,7 +230,7 @@
 	g := v.groups[service]
 	if g == nil {
 		g = &Group{Service: Service{Name: service}, Withdrawn: b.withdrawnOf(service)}
-		b.noteWithdrawn(g.Withdrawn)
+		b.logWithdrawn(g.Withdrawn)
 		if b.config != nil {
 			if s, ok := b.config.Services[service]; ok {
 				g.Service = s
@@ -243,8 +241,8 @@
 	return g
 }
 
-// withStatus joins an order with what is recorded of it. A record older than
-// the order is of an earlier order for the same service.
+// withStatus combines an order with its recorded status. A status older than the order
+// belongs to an earlier order for the same service.
 func (b *builder) withStatus(order Rollout) *Rollout {
 	s, ok := b.statuses[order.Service]
 	if !ok {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,8 +1,8 @@
-// Package fleet holds what an entry knows of its surroundings: the
-// configuration in force, the endpoints that serve, the roll-outs under way.
-// It follows the platform's store with one watch over everything, and where
-// the store does not answer it follows other entries, by the same revisions.
+// Package fleet holds what an entry knows of its environment: the configuration
+// in force, the endpoints that serve, the roll-outs in progress. It follows the
+// platform's store with one watch over all keys. While the store does not answer
+// it takes changes from other entries, identified by the same revisions.
 //
-// A View is one consistent, read-only state; requests take the newest and
-// keep it for a decision. Views only ever move to higher revisions.
+// A View is one consistent, read-only state; a request takes the newest one and
+// uses it for a whole decision. Views only ever move to higher revisions.
 package fleet
--- a/fleet/items.go
+++ b/fleet/items.go
@@ -6,42 +6,41 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// keptRemovals is how many removals are remembered to be told to entries
-// that are behind; one further behind is told everything.
-const keptRemovals = 2048
+// maxTombstones is how many removals are kept for entries that are behind; one
+// further behind gets a snapshot.
+const maxTombstones = 2048
 
-// Changes is what happened after some revision, up to Revision. With Whole
-// set, Events are all that there is, and what they do not name is gone.
+// Changes are the changes after some revision, up to Revision. If Whole is set,
+// Events are a snapshot: keys that they do not name do not exist.
 type Changes struct {
 	Revision kv.Revision
 	Whole    bool
 	Events   []kv.Event
 }
 
-// Items is this entry's copy of the store, by revision. It is safe for
-// concurrent use.
+// Items is this entry's copy of the store. It is safe for concurrent use.
 type Items struct {
 	mu       sync.Mutex
 	revision kv.Revision
 	items    map[string]kv.KeyValue
 	removed  []kv.KeyValue // oldest first; ModRevision is the removal's
-	// floor is the revision after which removed is complete.
-	floor kv.Revision
+	// historyStart is the revision after which removed is complete.
+	historyStart kv.Revision
 }
 
 // NewItems returns an empty copy.
 func NewItems() *Items { return &Items{items: map[string]kv.KeyValue{}} }
 
-// Revision is how far the copy has come; 0: it is empty.
+// Revision returns the revision of the copy; 0 if it is empty.
 func (s *Items) Revision() kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Apply takes changes and returns those that were new. An event older than
-// what is known of its key changes nothing, so that the same change may come
-// from the store and from several entries, in any order.
+// Apply applies changes and returns those that were new. An event no newer than the
+// known state of its key has no effect, so the same change may come from the
+// store and from several entries, in any order.
 func (s *Items) Apply(c Changes) []kv.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,10 +49,10 @@
 	}
 	var fresh []kv.Event
 	if c.Whole {
-		fresh = s.dropMissingLocked(c)
-		// What came and went before is not known: an entry that is behind, and was told
-		// of no removal, would keep sending to endpoints that have left.
-		s.floor = max(s.floor, c.Revision)
+		fresh = s.removeMissingLocked(c)
+		// Removals before the snapshot are unknown. An entry that is behind and is not
+		// told of them would keep sending to endpoints that have left.
+		s.historyStart = max(s.historyStart, c.Revision)
 	}
 	for _, e := range c.Events {
 		if s.applyLocked(e) {
@@ -70,7 +69,7 @@
 		return false
 	}
 	if e.Type == kv.EventPut {
-		if s.removedAfterLocked(e.KV) {
+		if s.hasNewerTombstoneLocked(e.KV) {
 			return false
 		}
 		s.items[e.KV.Key] = e.KV
@@ -80,13 +79,13 @@
 		return false
 	}
 	delete(s.items, e.KV.Key)
-	s.rememberLocked(e.KV)
+	s.addTombstoneLocked(e.KV)
 	return true
 }
 
-// removedAfterLocked reports whether a put that arrives late was undone by a
-// removal that is known already.
-func (s *Items) removedAfterLocked(put kv.KeyValue) bool {
+// hasNewerTombstoneLocked reports whether a put that arrives late was undone by
+// a removal already known.
+func (s *Items) hasNewerTombstoneLocked(put kv.KeyValue) bool {
 	for i := len(s.removed) - 1; i >= 0; i-- {
 		r := s.removed[i]
 		if r.Key == put.Key && r.ModRevision > put.ModRevision {
@@ -96,42 +95,41 @@
 	return false
 }
 
-func (s *Items) rememberLocked(removed kv.KeyValue) {
+func (s *Items) addTombstoneLocked(removed kv.KeyValue) {
 	s.removed = append(s.removed, kv.KeyValue{Key: removed.Key, ModRevision: removed.ModRevision})
-	if len(s.removed) > keptRemovals {
-		s.floor = s.removed[0].ModRevision
+	if len(s.removed) > maxTombstones {
+		s.historyStart = s.removed[0].ModRevision
 		s.removed = append([]kv.KeyValue(nil), s.removed[1:]...)
 	}
 }
 
-// dropMissingLocked removes what a whole state no longer has.
-func (s *Items) dropMissingLocked(c Changes) []kv.Event {
+// removeMissingLocked removes the keys that a snapshot no longer has.
+func (s *Items) removeMissingLocked(c Changes) []kv.Event {
 	present := make(map[string]bool, len(c.Events))
 	for _, e := range c.Events {
 		present[e.KV.Key] = true
 	}
-	var gone []kv.Event
+	var removals []kv.Event
 	for key, item := range s.items {
 		if present[key] || item.ModRevision > c.Revision {
 			continue
 		}
 		delete(s.items, key)
 		removal := kv.KeyValue{Key: key, ModRevision: c.Revision}
-		s.rememberLocked(removal)
-		gone = append(gone, kv.Event{Type: kv.EventDelete, KV: removal})
+		s.addTombstoneLocked(removal)
+		removals = append(removals, kv.Event{Type: kv.EventDelete, KV: removal})
 	}
-	return gone
+	return removals
 }
 
-// Since returns what changed after a revision; nothing when the copy is not
-// ahead of it.
+// Since returns the changes after a revision; none if the copy is not ahead of it.
 func (s *Items) Since(after kv.Revision) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.revision <= after {
 		return Changes{Revision: s.revision}
 	}
-	whole := after < s.floor || after == 0
+	whole := after < s.historyStart || after == 0
 	c := Changes{Revision: s.revision, Whole: whole}
 	for _, item := range s.items {
 		if whole || item.ModRevision > after {
--- a/fleet/items_test.go
+++ b/fleet/items_test.go
@@ -11,7 +11,7 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// history draws a sequence of changes of a few keys, as a store makes them.
+// history draws a sequence of changes of a few keys, as made by a store.
 func history(t *rapid.T) []kv.Event {
 	n := rapid.IntRange(1, 40).Draw(t, "changes")
 	present := map[string]bool{}
@@ -28,8 +28,8 @@
 	return out
 }
 
-// after is the state that a history leads to.
-func after(h []kv.Event) map[string]kv.Revision {
+// finalState is the state after a history.
+func finalState(h []kv.Event) map[string]kv.Revision {
 	out := map[string]kv.Revision{}
 	for _, e := range h {
 		if e.Type == kv.EventPut {
@@ -61,11 +61,9 @@
 	return true
 }
 
-// Symptom: an entry routes by a configuration that was replaced.
-// Events: the same changes come from the store and from several entries,
-// twice, in overlapping pieces, old after new.
-// Whatever comes in which order, the copy ends where the store is and no key
-// ever goes back.
+// Guards against an entry routing by a replaced configuration. The same changes come from
+// the store and from several entries, repeated, overlapping, and old after new; whatever the
+// order, the copy ends in the store's state and no key ever goes back.
 func TestItemsConvergeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := history(t)
@@ -74,7 +72,7 @@
 		for range rapid.IntRange(0, 12).Draw(t, "deliveries") {
 			from := rapid.IntRange(0, len(h)-1).Draw(t, "from")
 			to := rapid.IntRange(from, len(h)).Draw(t, "to")
-			// A piece is known to be complete only from where the copy stands.
+			// A delivery is known to be complete only from the copy's revision.
 			rev := s.Revision()
 			if int(rev) >= from && to > int(rev) {
 				rev = kv.Revision(to)
@@ -88,14 +86,13 @@
 			}
 		}
 		s.Apply(Changes{Revision: kv.Revision(len(h)), Events: h})
-		if !equal(state(s), after(h)) {
-			t.Fatalf("state %v, want %v", state(s), after(h))
+		if !equal(state(s), finalState(h)) {
+			t.Fatalf("state %v, want %v", state(s), finalState(h))
 		}
 	})
 }
 
-// What one entry tells another that is behind leads it to the same state,
-// however far behind it is.
+// The changes sent to an entry that is behind lead it to the same state, however far behind it is.
 func TestSinceLeadsToTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := history(t)
@@ -104,15 +101,15 @@
 		at := rapid.IntRange(0, len(h)).Draw(t, "behind at")
 		behind.Apply(Changes{Revision: kv.Revision(at), Events: h[:at]})
 		behind.Apply(ahead.Since(behind.Revision()))
-		if !equal(state(behind), after(h)) {
-			t.Fatalf("state %v, want %v", state(behind), after(h))
+		if !equal(state(behind), finalState(h)) {
+			t.Fatalf("state %v, want %v", state(behind), finalState(h))
 		}
 	})
 }
 
-// Symptom: an endpoint that is gone comes back from an entry that was away.
-// Events: it was removed; a whole state from before the removal arrives late.
-func TestAnOldWholeStateChangesNothing(t *testing.T) {
+// Guards against a removed endpoint coming back from a snapshot that was taken before the
+// removal and arrives late.
+func TestOldSnapshotIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewItems()
 	put := kv.Event{Type: kv.EventPut, KV: kv.KeyValue{Key: "servers/e", ModRevision: 5}}
@@ -124,8 +121,8 @@
 	is.Equal(s.Revision(), kv.Revision(9))
 }
 
-// An entry further behind than removals are remembered is told everything.
-func TestForgottenRemovalsAreToldByTheWholeState(t *testing.T) {
+// An entry further behind than the kept tombstones gets a snapshot.
+func TestSinceSendsSnapshotOnceRemovalsAreDropped(t *testing.T) {
 	is := is.New(t)
 	ahead, behind := NewItems(), NewItems()
 	first := []kv.Event{{Type: kv.EventPut, KV: kv.KeyValue{Key: "k", ModRevision: 1}}, {Type: kv.EventPut, KV: kv.KeyValue{Key: "stays", ModRevision: 2}}}
@@ -137,7 +134,7 @@
 		ahead.Apply(Changes{Revision: rev, Events: []kv.Event{{Type: typ, KV: kv.KeyValue{Key: key, ModRevision: rev}}}})
 	}
 	change("k", kv.EventDelete)
-	for range keptRemovals + 1 {
+	for range maxTombstones + 1 {
 		change("x", kv.EventPut)
 		change("x", kv.EventDelete)
 	}
@@ -151,14 +148,12 @@
 	return kv.Event{Type: kv.EventPut, KV: kv.KeyValue{Key: key, ModRevision: rev}}
 }
 
-// Symptom: an entry that was never cut off goes on sending to an endpoint that has
-// left, four seconds after the store took its leaving.
-// Events: most entries lose power; an endpoint announces that it leaves, and leaves. An
-// entry that starts again reads everything, where the endpoint is no more. One that went
-// on, and had heard of neither, asks it for the changes that it lacks.
-// Cause: the one that started again knows of no removal before it read everything, but
-// answered as if there had been none.
-func TestAnEntryThatReadEverythingDoesNotAnswerForRemovalsBefore(t *testing.T) {
+// Guards against an entry sending to an endpoint that has left, four seconds after the store
+// recorded this. While most entries are down, an endpoint announces that it leaves, and
+// leaves. An entry that restarts reads a snapshot without it. One that kept running, and had
+// received neither change, asks the restarted entry for changes; that one knows of no
+// removal before its snapshot, and answered as if there had been none.
+func TestSinceSendsSnapshotForRevisionsBeforeAFullRead(t *testing.T) {
 	is := is.New(t)
 	behind := NewItems()
 	behind.Apply(Changes{Revision: 5, Whole: true, Events: []kv.Event{stored("servers/e1", 4), stored("servers/e2", 5)}})
@@ -168,13 +163,13 @@
 	} {
 		started := NewItems()
 		started.Apply(knew)
-		// e1 said that it leaves at revision 6, and was gone at 7.
+		// e1 announced at revision 6 that it leaves, and was removed at 7.
 		started.Apply(Changes{Revision: 8, Whole: true, Events: []kv.Event{stored("servers/e2", 5)}})
 		is.True(started.Since(5).Whole)
 		is.True(!started.Since(8).Whole)
-		told := NewItems()
-		told.Apply(behind.Since(0))
-		told.Apply(started.Since(5))
-		is.Equal(len(told.All()), 1)
+		merged := NewItems()
+		merged.Apply(behind.Since(0))
+		merged.Apply(started.Since(5))
+		is.Equal(len(merged.All()), 1)
 	}
 }
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -9,21 +9,21 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// QuarantinePrefix is where requests that crash endpoints are recorded, by fingerprint.
+// QuarantinePrefix is the prefix of the records of requests that crash endpoints, by fingerprint.
 const QuarantinePrefix = "lovageweir/quarantine/"
 
 // Quarantined is the record of a request that crashes endpoints; package quarantine
-// decides on it. It lapses with its lease.
+// decides on it. It expires with its lease.
 type Quarantined struct {
 	Fingerprint string       `json:"-"` // hexadecimal
 	Crashed     []EndpointID `json:"crashed"`
 }
 
-// Key is where it is recorded.
+// Key returns the key of the record.
 func (q Quarantined) Key() string { return QuarantinePrefix + q.Fingerprint }
 
-// Quarantine is the records of all requests that crash endpoints. It is never changed;
-// nil has none.
+// Quarantine holds the records of all requests that crash endpoints. It is immutable;
+// nil is empty.
 type Quarantine struct{ crashed map[uint64][]EndpointID }
 
 // Has reports whether a request is recorded.
@@ -35,7 +35,7 @@
 	return ok
 }
 
-// Len is how many requests are recorded.
+// Len returns the number of recorded requests.
 func (q *Quarantine) Len() int {
 	if q == nil {
 		return 0
@@ -51,30 +51,30 @@
 	return maps.All(q.crashed)
 }
 
-// takeQuarantined takes a record. Of one whose value cannot be read the key says enough:
-// taken for missing, it would be written again and again in vain.
-func (b *builder) takeQuarantined(name string, item kv.KeyValue) error {
+// applyQuarantined applies a record. One whose value cannot be decoded still counts by its
+// key: treated as missing, it would be written again and again without effect.
+func (b *builder) applyQuarantined(name string, item kv.KeyValue) error {
 	fingerprint, err := strconv.ParseUint(name, 16, 64)
 	if err != nil {
 		return err
 	}
 	var q Quarantined
 	err = json.Unmarshal(item.Value, &q)
-	b.changeQuarantine(func(crashed map[uint64][]EndpointID) { crashed[fingerprint] = q.Crashed })
+	b.updateQuarantine(func(crashed map[uint64][]EndpointID) { crashed[fingerprint] = q.Crashed })
 	return err
 }
 
-// removeQuarantined forgets a record that has lapsed.
+// removeQuarantined removes a record that has expired.
 func (b *builder) removeQuarantined(name string) {
 	fingerprint, err := strconv.ParseUint(name, 16, 64)
 	if err != nil {
-		return // it was not taken either
+		return // it was not applied either
 	}
-	b.changeQuarantine(func(crashed map[uint64][]EndpointID) { delete(crashed, fingerprint) })
+	b.updateQuarantine(func(crashed map[uint64][]EndpointID) { delete(crashed, fingerprint) })
 }
 
-// changeQuarantine replaces the records: views share them.
-func (b *builder) changeQuarantine(change func(crashed map[uint64][]EndpointID)) {
+// updateQuarantine replaces the records with a changed copy: views share them.
+func (b *builder) updateQuarantine(change func(crashed map[uint64][]EndpointID)) {
 	crashed := map[uint64][]EndpointID{}
 	if b.quarantine != nil {
 		crashed = maps.Clone(b.quarantine.crashed)
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -14,8 +14,8 @@
 	"github.com/lovageweir/lovageweir/platform"
 )
 
-// Guards against a record that cannot be read written again and again in vain.
-func TestARecordOfTheQuarantineThatCannotBeReadCounts(t *testing.T) {
+// Guards against an unreadable record being written again and again without effect.
+func TestUnreadableQuarantineRecordCounts(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	f := fleet.NewFollower(fleet.Entry{Instance: "i"}, memkv.New(clock), platform.Values{}, time.Second, clock, slog.New(slog.DiscardHandler))
--- a/fleet/types.go
+++ b/fleet/types.go
@@ -7,16 +7,16 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Kind says what may be done with a request of a route when it is not known
-// whether an endpoint ran it.
+// Kind determines what may be done with a route's request if it is not known
+// whether an endpoint executed it.
 type Kind int
 
 const (
-	// NonIdempotent requests run at most once.
+	// NonIdempotent requests are executed at most once.
 	NonIdempotent Kind = iota
-	// Idempotent requests may run again.
+	// Idempotent requests may be executed again.
 	Idempotent
-	// Streaming requests are answered by a stream of events. They run once
+	// Streaming requests are answered by a stream of events. They are executed once
 	// unless the route lets streams resume.
 	Streaming
 )
@@ -25,17 +25,17 @@
 	return [...]string{"non_idempotent", "idempotent", "streaming"}[k]
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route determines where requests for a host and path prefix are sent.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting; Objective the
-	// time within which an answer is worth all it can be.
+	// Timeout is the longest that a caller waits. Objective is the target latency:
+	// an answer within it has its full value.
 	Timeout   time.Duration
 	Objective time.Duration
-	// MaxGap is the longest pause between events of a stream on time.
+	// MaxGap is the longest pause between events of a stream that counts as on time.
 	MaxGap time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
@@ -43,7 +43,7 @@
 	MaxAttempts int
 	// Public requests need no API key.
 	Public bool
-	// Resumable streams may go on at another endpoint.
+	// Resumable streams may continue at another endpoint.
 	Resumable bool
 	// Models are the names of the models that may answer, smallest first;
 	// empty where the caller names the model.
@@ -59,7 +59,7 @@
 	Weight  int
 }
 
-// MayRepeat reports whether a request that may have run may be sent again.
+// MayRepeat reports whether a request that may have been executed may be sent again.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
@@ -74,11 +74,11 @@
 	Engine *Engine
 }
 
-// Engine is what the configuration says of a service's model engines.
+// Engine is the configuration of a service's model engines.
 type Engine struct {
 	Slots    int
-	KVTokens int // tokens of memory of one engine
-	// Cost is the price of 1,000 tokens generated, by model.
+	KVTokens int // memory of one engine, in tokens
+	// Cost is the price of 1,000 generated tokens, by model.
 	Cost map[string]float64
 }
 
@@ -90,10 +90,10 @@
 	IdleTimeout   time.Duration
 }
 
-// Customer is a caller's organisation.
+// Customer is an organisation that callers belong to.
 type Customer struct {
 	Name string
-	// Priority goes before the route's; nil: the route's holds.
+	// Priority overrides the route's, unless nil.
 	Priority *int
 	Keys     []string
 }
@@ -107,12 +107,12 @@
 	Limits    Limits
 }
 
-// EndpointID names one incarnation of an endpoint: what is learned of it, and
-// what was sent to it, ends with it.
+// EndpointID identifies one incarnation of an endpoint. State and requests in flight
+// belong to the incarnation and end with it.
 type EndpointID string
 
-// IncarnationID is the id of the incarnation of an endpoint that started at a
-// time in Unix milliseconds; 0: it does not tell, and its name is enough.
+// IncarnationID returns the ID of the incarnation of an endpoint that started at
+// born, in Unix milliseconds. 0 means not reported; the name is then the ID.
 func IncarnationID(name string, born int64) EndpointID {
 	if born == 0 {
 		return EndpointID(name)
@@ -120,13 +120,13 @@
 	return EndpointID(name + "@" + strconv.FormatInt(born, 10))
 }
 
-// Endpoint is one back end as it registered itself.
+// Endpoint is one back end, as registered by itself.
 type Endpoint struct {
 	ID EndpointID
-	// Name is what the endpoint answers to. One that starts again may have the
-	// name that it had, and then knows nothing of before.
+	// Name is the endpoint's own name. A restarted endpoint may have the same name, but
+	// has no state of its earlier incarnation.
 	Name string
-	// Born is when this incarnation started, in Unix milliseconds; 0: not told.
+	// Born is when this incarnation started, in Unix milliseconds; 0 if not reported.
 	Born     int64
 	Service  string
 	Address  string // IP:port
@@ -134,12 +134,12 @@
 	Version  string // of its software
 	Slots    int
 	Draining bool
-	// Registered is the revision at which its registration was made, however often it
-	// was written since.
+	// Registered is the revision that created its registration; later writes do not
+	// change it.
 	Registered kv.Revision
 }
 
-// RolloutState is how far a roll-out has come.
+// RolloutState is the progress of a roll-out.
 type RolloutState string
 
 // Rollout states.
@@ -155,24 +155,24 @@
 	Service  string
 	Target   string
 	Duration time.Duration
-	// Ordered is the revision of the order: a new order for the same service
-	// has a higher one.
+	// Ordered is the revision of the order: a new order for the same service has a
+	// higher one.
 	Ordered kv.Revision
-	// State is what was last recorded for this order, at revision Recorded
-	// (0: nothing yet).
+	// State is the last recorded state of this order. Recorded is the revision of
+	// the service's last record, also of an earlier order; 0 if there is none.
 	State    RolloutState
 	Recorded kv.Revision
 }
 
-// RolloutStatus is what is recorded of a roll-out for the operators.
+// RolloutStatus is the record of a roll-out's state for the operators.
 type RolloutStatus struct {
 	Target string
 	State  RolloutState
 }
 
-// Decoder reads the store's values; the platform's adapter implements it.
+// Decoder decodes the store's values; the platform's adapter implements it.
 type Decoder interface {
-	// Classify says what lies under a key, and the name within its kind.
+	// Classify returns the kind of item under a key, and its name within the kind.
 	Classify(key string) (ItemKind, string)
 	Config(value []byte) (*Config, error)
 	Endpoint(name string, value []byte) (Endpoint, error)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -10,27 +10,27 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Entry is another entry instance.
+// Entry is the registration of an entry.
 type Entry struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
-	Address  string `json:"address"` // where peers are served, IP:port
-	Loads    string `json:"loads"`   // where it takes datagrams on load, IP:port
-	Boot     int64  `json:"boot"`    // this run of its process
+	Address  string `json:"address"` // where it serves peers, IP:port
+	Loads    string `json:"loads"`   // where it receives load datagrams, IP:port
+	Boot     int64  `json:"boot"`    // identifies this run of its process
 }
 
-// EntryPrefix is where entries make themselves known to each other.
+// EntryPrefix is the prefix under which entries register.
 const EntryPrefix = "lovageweir/entries/"
 
-// Lapsed is an endpoint whose registration ended without notice. It may have
-// crashed; or it lives, and could not reach the store in time to renew it.
+// Lapsed is an endpoint whose registration ended without notice. It has crashed, or it
+// is alive but could not reach the store in time to renew its registration.
 type Lapsed struct {
 	Endpoint
-	Since time.Time // on the steady clock
+	Since time.Time // on the monotonic clock
 }
 
-// Group is the endpoints of one service. Those of withdrawn versions are not among
-// them, so that no way of choosing an endpoint has to leave them out.
+// Group is the endpoints of one service. It does not contain endpoints of withdrawn
+// versions, so that code that chooses an endpoint need not filter them out.
 type Group struct {
 	Service Service
 	// Ready take new requests, sorted by ID.
@@ -39,7 +39,7 @@
 	Lapsed []Lapsed
 	// Withdrawn are the versions that get no requests.
 	Withdrawn Withdrawn
-	// Rollout is the order in force for the service; nil: there is none.
+	// Rollout is the order in force for the service, or nil.
 	Rollout *Rollout
 }
 
@@ -53,25 +53,25 @@
 	return slices.ContainsFunc(g.Ready, func(ep Endpoint) bool { return ep.ID == id })
 }
 
-// View is one consistent state. It is never changed once built.
+// View is one consistent state. It is immutable.
 type View struct {
 	Revision kv.Revision
 	Config   *Config // nil: not known yet
 	Entries  []Entry
-	// Quarantine is the requests that are recorded as crashing endpoints.
+	// Quarantine holds the requests recorded as crashing endpoints.
 	Quarantine *Quarantine
 
 	watchers watchers // of Entries
 	groups   map[string]*Group
-	// byHost are the routes of a host, longest prefix first.
+	// byHost lists the routes of each host, longest prefix first.
 	byHost map[string][]*Route
 	byKey  map[string]*Customer
 }
 
-// EmptyView knows nothing.
+// EmptyView returns a view without data.
 func EmptyView() *View { return &View{groups: map[string]*Group{}} }
 
-// Route returns the route of a request's host and path; nil: there is none.
+// Route returns the route for a request's host and path, or nil.
 func (v *View) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Customer returns the holder of an API key; nil: nobody holds it.
+// Customer returns the holder of an API key, or nil.
 func (v *View) Customer(key string) *Customer {
 	if key == "" {
 		return nil
@@ -95,15 +95,15 @@
 // HasCustomers reports whether requests need an API key at all.
 func (v *View) HasCustomers() bool { return len(v.byKey) > 0 }
 
-// Group returns a service's endpoints; nil: none are known.
+// Group returns a service's endpoints, or nil if none are known.
 func (v *View) Group(service string) *Group { return v.groups[service] }
 
-// Watches reports whether an entry is one that watches the store for all; one that the
-// view does not know watches for itself.
-func (v *View) Watches(instance string) bool { return v.watchers.has(instance) }
+// IsWatcher reports whether an entry watches the store for all. One that the view does
+// not list watches for itself.
+func (v *View) IsWatcher(instance string) bool { return v.watchers.isWatcher(instance) }
 
-// Knows reports whether an entry is among those known.
-func (v *View) Knows(instance string) bool {
+// HasEntry reports whether an entry is listed.
+func (v *View) HasEntry(instance string) bool {
 	_, known := v.watchers[instance]
 	return known
 }
@@ -118,7 +118,7 @@
 	return out
 }
 
-// index builds the look-ups of a configuration.
+// index builds the lookup maps of a configuration.
 func (v *View) index() {
 	v.byHost = map[string][]*Route{}
 	v.byKey = map[string]*Customer{}
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -17,7 +17,7 @@
 	return x.f.View()
 }
 
-func TestTheLongestPrefixOfTheHostTakesARequest(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	to := []fleet.Target{{Service: "s", Weight: 1}}
 	v := viewOf(t, &fleet.Config{Version: 1, Routes: []fleet.Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/", Targets: to},
@@ -54,9 +54,9 @@
 	is.True(v.Customer("") == nil)
 }
 
-// Symptom: a new roll-out is taken for done, or rolled back, at its start.
-// Events: the record of an earlier order for the same service still stands.
-func TestARecordFromBeforeTheOrderIsNotOfIt(t *testing.T) {
+// Guards against a new roll-out counting as done or rolled back at its start because the
+// status of an earlier order for the same service is still recorded.
+func TestRolloutIgnoresStatusOlderThanOrder(t *testing.T) {
 	is := is.New(t)
 	x := newFixture(t)
 	put := func(key, value string, rev kv.Revision) kv.Event {
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -7,40 +7,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fewestWatchers watch the store, however few failure domains there are: one
-// that is killed, and one whose connection has gone silent, leave a third.
-const fewestWatchers = 3
-
-// perWatcher is how many entries of a failure domain one watcher serves at
-// most: each of them asks one some three times a second. At 75 entries a
-// domain and one watcher, that took a fifth of a core.
-const perWatcher = 32
-
-// Watches reports whether an entry is one of those that watch the store for
-// all: the first of each failure domain, by a hash, one more for each
-// perWatcher of its entries, and fewestWatchers in all. The others learn from
-// these by exchange. It costs the store calls by the number of failure
-// domains, hardly by that of entries.
+// minWatchers is the minimum number of watchers, however few failure domains there are:
+// if one is killed and another's connection is dead, one remains.
+const minWatchers = 3
+
+// entriesPerWatcher bounds the entries of a failure domain that one watcher serves: each
+// of them asks a watcher about three times a second. 75 entries to one watcher took a
+// fifth of a core.
+const entriesPerWatcher = 32
+
+// IsWatcher reports whether an entry is a watcher: one that watches the store for all. The
+// watchers are the first entries of each failure domain in hash order, one more
+// for each entriesPerWatcher of its entries, and minWatchers in all. The other entries get
+// changes from them by exchange, so the number of calls to the store depends on that of
+// failure domains and hardly on that of entries.
 //
-// Entries that know different lists choose differently; then more watch than
-// need to, or an entry hears from no watcher and watches by itself. One that is
-// not in the list watches.
-func Watches(entries []Entry, self Entry) bool { return watchersOf(entries).has(self.Instance) }
+// Entries with different lists choose differently; then more entries watch than necessary,
+// or an entry gets no answer from a watcher and watches itself. An entry that is not in the
+// list watches.
+func IsWatcher(entries []Entry, self Entry) bool {
+	return selectWatchers(entries).isWatcher(self.Instance)
+}
 
-// watchers are those of a list of entries, by instance: true for each that watches,
-// false for each that does not.
+// watchers records for each listed entry, by instance, whether it is a watcher.
 type watchers map[string]bool
 
-func (w watchers) has(instance string) bool {
+func (w watchers) isWatcher(instance string) bool {
 	watches, known := w[instance]
 	return watches || !known
 }
 
-// watchersOf chooses the watchers of a list: once a list, as each entry asks of all
-// others several times a second.
-func watchersOf(entries []Entry) watchers {
+// selectWatchers selects the watchers of a list. It runs once for each list, as every entry
+// asks for each of the others several times a second.
+func selectWatchers(entries []Entry) watchers {
 	ordered := slices.Clone(entries)
-	slices.SortFunc(ordered, func(a, b Entry) int { return cmp.Compare(order(a), order(b)) })
+	slices.SortFunc(ordered, func(a, b Entry) int { return cmp.Compare(watcherRank(a), watcherRank(b)) })
 	size := map[string]int{}
 	for _, e := range ordered {
 		size[e.Domain]++
@@ -48,10 +49,10 @@
 	w := make(watchers, len(ordered))
 	before := map[string]int{}
 	for i, e := range ordered {
-		w[e.Instance] = i < fewestWatchers || before[e.Domain] <= size[e.Domain]/perWatcher
+		w[e.Instance] = i < minWatchers || before[e.Domain] <= size[e.Domain]/entriesPerWatcher
 		before[e.Domain]++
 	}
 	return w
 }
 
-func order(e Entry) uint64 { return xxhash.Sum64String(e.Instance) }
+func watcherRank(e Entry) uint64 { return xxhash.Sum64String(e.Instance) }
--- a/fleet/withdrawn.go
+++ b/fleet/withdrawn.go
@@ -7,58 +7,58 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// A version that was rolled back still has endpoints when the next order is known, and the
-// record of a roll-out holds the latest order only. Without a record of its own the version
-// would count as one of the old ones.
+// A version that was rolled back still has endpoints when the next order arrives, and the
+// status of a roll-out covers the latest order only. Without a record of its own the version
+// would count as one of the old versions, which get requests.
 
-// WithdrawnPrefix is where the withdrawn versions of a service are recorded.
+// WithdrawnPrefix is the prefix of the records of a service's withdrawn versions.
 const WithdrawnPrefix = "lovageweir/withdrawn/"
 
-// mostWithdrawn bounds the versions recorded of a service; the oldest, whose
-// endpoints are long gone, are dropped.
-const mostWithdrawn = 32
+// maxWithdrawn bounds the versions recorded for a service; the oldest, whose endpoints are
+// long gone, are dropped.
+const maxWithdrawn = 32
 
 // Withdrawn are the versions of a service that get no requests.
 type Withdrawn struct {
 	Service  string   `json:"service"`
 	Versions []string `json:"versions"` // oldest first
-	// Recorded is the revision of the record; 0: there is none.
+	// Recorded is the revision of the record; 0 if there is none.
 	Recorded kv.Revision `json:"-"`
 
 	changed bool // since it was recorded
 }
 
-// Changed reports whether they are others than are recorded.
+// Changed reports whether the versions differ from the recorded ones.
 func (w Withdrawn) Changed() bool { return w.changed }
 
-// Key is where it is recorded.
+// Key returns the key of the record.
 func (w Withdrawn) Key() string { return WithdrawnPrefix + w.Service }
 
-// has reports whether a version is among them.
+// has reports whether a version is withdrawn.
 func (w Withdrawn) has(version string) bool { return slices.Contains(w.Versions, version) }
 
-// with returns them and one more.
+// with returns a copy with a version added.
 func (w Withdrawn) with(version string) Withdrawn {
 	if w.has(version) {
 		return w
 	}
 	w.Versions = append(slices.Clone(w.Versions), version)
-	if extra := len(w.Versions) - mostWithdrawn; extra > 0 {
+	if extra := len(w.Versions) - maxWithdrawn; extra > 0 {
 		w.Versions = w.Versions[extra:]
 	}
 	return w
 }
 
-// without returns them without one.
+// without returns a copy with a version removed.
 func (w Withdrawn) without(version string) Withdrawn {
 	w.Versions = slices.DeleteFunc(slices.Clone(w.Versions), func(v string) bool { return v == version })
 	return w
 }
 
-// takeWithdrawn takes a record. One that cannot be read leaves the versions as they were;
-// its revision counts all the same, as the next record is written under that condition,
-// and the states of the service's roll-outs wait for it.
-func (b *builder) takeWithdrawn(service string, item kv.KeyValue) error {
+// applyWithdrawn applies a record. One that cannot be decoded leaves the versions unchanged,
+// but its revision still counts: the next record is written on condition of that revision,
+// and the states of the service's roll-outs wait for that write.
+func (b *builder) applyWithdrawn(service string, item kv.KeyValue) error {
 	w := Withdrawn{}
 	err := json.Unmarshal(item.Value, &w)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return err
 }
 
-// withdrawnOf are a service's withdrawn versions: those recorded, and the one of the
-// roll-out that was recorded last, if it was rolled back or another was ordered since.
-// The version of the order in force is not among them: package rollout decides on it,
-// and one that is ordered again is tried anew.
+// withdrawnOf returns a service's withdrawn versions: the recorded ones, and that of the
+// last recorded roll-out if it was rolled back, or replaced by another order before it was
+// done. The version of the order in force is excluded: package rollout decides on it, and
+// a version ordered again gets a new trial.
 func (b *builder) withdrawnOf(service string) Withdrawn {
 	recorded := b.withdrawn[service]
 	w := recorded
@@ -92,8 +92,8 @@
 	return w
 }
 
-// noteWithdrawn logs a change of the versions that get no requests.
-func (b *builder) noteWithdrawn(w Withdrawn) {
+// logWithdrawn logs a change of the versions that get no requests.
+func (b *builder) logWithdrawn(w Withdrawn) {
 	var before []string
 	if g := b.last.Group(w.Service); g != nil {
 		before = g.Withdrawn.Versions
--- a/fleet/withdrawn_test.go
+++ b/fleet/withdrawn_test.go
@@ -12,27 +12,29 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// rolledOut are items of service s in the order in which they were written.
-type rolledOut struct{ items []kv.KeyValue }
+// rolloutItems are the items of service s in the order in which they were written.
+type rolloutItems struct{ items []kv.KeyValue }
 
-func (r *rolledOut) put(key, value string) *rolledOut {
+func (r *rolloutItems) put(key, value string) *rolloutItems {
 	r.items = append(r.items, kv.KeyValue{Key: key, Value: []byte(value)})
 	return r
 }
 
-func (r *rolledOut) order(version string) *rolledOut {
+func (r *rolloutItems) order(version string) *rolloutItems {
 	return r.put("op/rollout/s", fmt.Sprintf(`{"service":"s","target":%q,"duration_s":16}`, version))
 }
 
-func (r *rolledOut) record(version string, state fleet.RolloutState) *rolledOut {
+func (r *rolloutItems) record(version string, state fleet.RolloutState) *rolloutItems {
 	return r.put("status/rollout/s", fmt.Sprintf(`{"target":%q,"state":%q}`, version, state))
 }
 
-func (r *rolledOut) withdraw(value string) *rolledOut { return r.put(fleet.WithdrawnPrefix+"s", value) }
+func (r *rolloutItems) withdraw(value string) *rolloutItems {
+	return r.put(fleet.WithdrawnPrefix+"s", value)
+}
 
-// group is service s as an entry knows it that reads all this, with an endpoint of
-// each version ready and another one lapsed.
-func (r *rolledOut) group(t *testing.T, versions ...string) *fleet.Group {
+// group returns service s as seen by an entry that reads these items, with one ready and
+// one lapsed endpoint of each version.
+func (r *rolloutItems) group(t *testing.T, versions ...string) *fleet.Group {
 	x := newFixture(t)
 	var events []kv.Event
 	put := func(item kv.KeyValue) {
@@ -61,28 +63,28 @@
 	return x.f.View().Group("s")
 }
 
-// Guards against endpoints of a bad version getting requests, or those of a good one none, after orders that follow each other.
-func TestWithdrawnVersionsGetNothing(t *testing.T) {
+// Guards against requests to endpoints of a bad version, or none to those of a good one, after successive orders.
+func TestWithdrawnVersionsHaveNoEndpoints(t *testing.T) {
 	const (
 		running, done, rolledBack = fleet.RolloutRunning, fleet.RolloutDone, fleet.RolloutRolledBack
 	)
 	tests := []struct {
 		name  string
-		items *rolledOut
+		items *rolloutItems
 		want  []string
 	}{
-		{"no order", new(rolledOut), []string{"v1", "v2", "v3"}},
-		{"an order under way", new(rolledOut).order("v2").record("v2", running), []string{"v1", "v2", "v3"}},
-		{"rolled back, order in force: not decided here", new(rolledOut).order("v2").record("v2", rolledBack), []string{"v1", "v2", "v3"}},
-		{"rolled back, order taken away", new(rolledOut).record("v2", rolledBack), []string{"v1", "v3"}},
-		{"rolled back, then the next order", new(rolledOut).order("v2").record("v2", rolledBack).order("v3"), []string{"v1", "v3"}},
-		{"recorded after the next order", new(rolledOut).order("v3").record("v2", rolledBack), []string{"v1", "v3"}},
-		{"undecided at the next order", new(rolledOut).order("v2").record("v2", running).order("v3"), []string{"v1", "v3"}},
-		{"done, then the next order", new(rolledOut).order("v2").record("v2", done).order("v3"), []string{"v1", "v2", "v3"}},
-		{"only the record of its own is left", new(rolledOut).withdraw(`{"service":"s","versions":["v2"]}`).order("v3").record("v3", running), []string{"v1", "v3"}},
-		{"the next one done", new(rolledOut).withdraw(`{"service":"s","versions":["v2"]}`).order("v3").record("v3", done), []string{"v1", "v3"}},
-		{"ordered again", new(rolledOut).withdraw(`{"service":"s","versions":["v2"]}`).order("v2"), []string{"v1", "v2", "v3"}},
-		{"a record that cannot be read", new(rolledOut).withdraw(`{"service":"s","versions":["v2"]}`).withdraw(`{"versions":7}`).order("v3").record("v3", running), []string{"v1", "v3"}},
+		{"no order", new(rolloutItems), []string{"v1", "v2", "v3"}},
+		{"an order under way", new(rolloutItems).order("v2").record("v2", running), []string{"v1", "v2", "v3"}},
+		{"rolled back, order in force: not decided here", new(rolloutItems).order("v2").record("v2", rolledBack), []string{"v1", "v2", "v3"}},
+		{"rolled back, order taken away", new(rolloutItems).record("v2", rolledBack), []string{"v1", "v3"}},
+		{"rolled back, then the next order", new(rolloutItems).order("v2").record("v2", rolledBack).order("v3"), []string{"v1", "v3"}},
+		{"recorded after the next order", new(rolloutItems).order("v3").record("v2", rolledBack), []string{"v1", "v3"}},
+		{"undecided at the next order", new(rolloutItems).order("v2").record("v2", running).order("v3"), []string{"v1", "v3"}},
+		{"done, then the next order", new(rolloutItems).order("v2").record("v2", done).order("v3"), []string{"v1", "v2", "v3"}},
+		{"only the record of its own is left", new(rolloutItems).withdraw(`{"service":"s","versions":["v2"]}`).order("v3").record("v3", running), []string{"v1", "v3"}},
+		{"the next one done", new(rolloutItems).withdraw(`{"service":"s","versions":["v2"]}`).order("v3").record("v3", done), []string{"v1", "v3"}},
+		{"ordered again", new(rolloutItems).withdraw(`{"service":"s","versions":["v2"]}`).order("v2"), []string{"v1", "v2", "v3"}},
+		{"a record that cannot be read", new(rolloutItems).withdraw(`{"service":"s","versions":["v2"]}`).withdraw(`{"versions":7}`).order("v3").record("v3", running), []string{"v1", "v3"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -103,20 +105,20 @@
 	}
 }
 
-// Guards against records written again though they hold what is withdrawn, or not written though they do not.
+// Guards against a record being written again though unchanged, or not written though changed.
 func TestWithdrawnVersionsAreRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	record := `{"service":"s","versions":["v2"]}`
-	is.True(!new(rolledOut).group(t, "v1").Withdrawn.Changed())
-	is.True(new(rolledOut).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1").Withdrawn.Changed())
-	is.True(!new(rolledOut).withdraw(record).order("v3").record("v3", fleet.RolloutRunning).group(t, "v1").Withdrawn.Changed())
-	is.True(new(rolledOut).withdraw(record).order("v2").group(t, "v1").Withdrawn.Changed())
+	is.True(!new(rolloutItems).group(t, "v1").Withdrawn.Changed())
+	is.True(new(rolloutItems).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1").Withdrawn.Changed())
+	is.True(!new(rolloutItems).withdraw(record).order("v3").record("v3", fleet.RolloutRunning).group(t, "v1").Withdrawn.Changed())
+	is.True(new(rolloutItems).withdraw(record).order("v2").group(t, "v1").Withdrawn.Changed())
 }
 
-// Guards against roll-outs whose state is recorded no more because a record before it cannot be read.
+// Guards against roll-out states no longer being recorded because an earlier record is unreadable.
 func TestAnUnreadableRecordIsOverwritten(t *testing.T) {
 	is := is.New(t)
-	g := new(rolledOut).withdraw(`not JSON`).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1")
+	g := new(rolloutItems).withdraw(`not JSON`).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1")
 	is.Equal(g.Withdrawn.Versions, []string{"v2"})
 	is.True(g.Withdrawn.Changed())
 	is.Equal(g.Withdrawn.Recorded, kv.Revision(3)) // after two registrations
@@ -129,7 +131,7 @@
 	for i := range 40 {
 		w += fmt.Sprintf(`,"bad%d"`, i)
 	}
-	g := new(rolledOut).withdraw(`{"service":"s","versions":["v0"`+w+`]}`).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1")
+	g := new(rolloutItems).withdraw(`{"service":"s","versions":["v0"`+w+`]}`).order("v2").record("v2", fleet.RolloutRolledBack).order("v3").group(t, "v1")
 	is.Equal(len(g.Withdrawn.Versions), 32)
 	is.Equal(g.Withdrawn.Versions[31], "v2")
 	is.Equal(g.Withdrawn.Versions[0], "bad9")
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -168,7 +168,7 @@
 		if e.Domain == m.Domain {
 			here++
 		}
-		if e.Address != m.Address && !now.Before(m.deaf[e.Address]) && view.Watches(e.Instance) {
+		if e.Address != m.Address && !now.Before(m.deaf[e.Address]) && view.IsWatcher(e.Instance) {
 			watchers[e.Address] = true
 			nearWatchers[e.Address] = e.Domain == m.Domain
 		}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -262,7 +262,7 @@
 	m, all := newRelying(t, clock)
 	watchers := 0
 	for _, e := range all {
-		if fleet.Watches(all, e) {
+		if fleet.IsWatcher(all, e) {
 			watchers++
 		}
 	}
@@ -290,7 +290,7 @@
 	var relying fleet.Entry
 	for _, e := range all {
 		domainOf[e.Address] = e.Domain
-		if fleet.Watches(all, e) {
+		if fleet.IsWatcher(all, e) {
 			watching[e.Address] = true
 		} else {
 			relying = e
@@ -344,14 +344,14 @@
 	clock := clockwork.NewFakeClock()
 	m, all := newRelying(t, clock)
 	for _, e := range all {
-		if fleet.Watches(all, e) {
+		if fleet.IsWatcher(all, e) {
 			m.noteHearing(e.Address, &meshpb.ExchangeMessage{ConfirmedMs: 3000})
 		}
 	}
 	is.Equal(len(drawn(m)), len(all)-1)
 	one := all[0]
 	for _, e := range all {
-		if fleet.Watches(all, e) {
+		if fleet.IsWatcher(all, e) {
 			one = e
 		}
 	}
@@ -386,7 +386,7 @@
 	}
 	relying := all[0]
 	for _, e := range all {
-		if !fleet.Watches(all, e) {
+		if !fleet.IsWatcher(all, e) {
 			relying = e
 		}
 	}
