--- a/mesh/doc.go
+++ b/mesh/doc.go
@@ -1,9 +1,9 @@
-// Package mesh lets entries tell each other what they know: changes of the
-// platform's store, for those that it does not answer, and evidence on
-// versions. Each entry exchanges with one other, drawn anew each time, so the
-// cost an entry does not grow with their number. Datagrams tell what is worth nothing
-// a second later: work sent to endpoints, their load, repeats.
+// Package mesh exchanges state between entries by gossip: changes of the
+// platform's store, for entries that it does not answer, and evidence on
+// versions. Each entry picks a random peer for each exchange, so the cost per
+// entry does not grow with the size of the fleet. Datagrams carry what is
+// worthless a second later: outstanding work and load of endpoints, and retries.
 //
-// Nothing is decided among entries: what they pass on was accepted by the
-// store, at its revision, and evidence only adds up.
+// Entries do not vote on anything: the changes they pass on were accepted by
+// the store, at its revision, and evidence is only added up.
 package mesh
--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -11,11 +11,11 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-// runLimits tells the entries that use the same endpoints of each request sent to one that
-// names a limit, until ctx ends. It does not wait for its turn among the tellings of loads:
-// these are paced, and others would take the same room meanwhile. Requests to endpoints that
-// name a limit are few, by the limit.
-func (l *Loads) runLimits(ctx context.Context) {
+// publishLimits sends the limits to the entries that use the same endpoints after each
+// request to an endpoint that names a limit, until ctx ends. It bypasses the send limiter:
+// load datagrams are paced, and other entries would use up the limit meanwhile. The limit
+// itself keeps such requests few.
+func (l *Loads) publishLimits(ctx context.Context) {
 	for {
 		select {
 		case <-l.Limits.Sent():
@@ -27,19 +27,19 @@
 			l.Log.Error("mesh: limits cannot be encoded.", "error", err)
 			continue
 		}
-		l.send(raw, l.sharing())
+		l.send(raw, l.limitRecipients())
 	}
 }
 
-// LimitsDatagram is what this entry tells of limits alone.
+// LimitsDatagram encodes this entry's limits only.
 func (l *Loads) LimitsDatagram() ([]byte, error) {
 	msg := &meshpb.Load{Instance: l.Instance, LimitsOnly: true}
 	l.addLimits(msg)
 	return proto.Marshal(msg)
 }
 
-// sharing are the addresses of the entries that may use the same limited endpoints.
-func (l *Loads) sharing() []string {
+// limitRecipients returns the addresses of the entries that may use the same limited endpoints.
+func (l *Loads) limitRecipients() []string {
 	entries := l.Fleet.View().Entries
 	var out []string
 	for _, e := range entries {
@@ -50,14 +50,14 @@
 	return out
 }
 
-// addLimits adds the limits that fit a datagram, drawn anew each time if there are more.
+// addLimits adds as many limits as fit a datagram, a new random selection each time if there are more.
 func (l *Loads) addLimits(msg *meshpb.Load) {
-	told := l.Limits.Tell()
-	if len(told) > mostLimits {
-		rand.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-		told = told[:mostLimits]
+	limits := l.Limits.Tell()
+	if len(limits) > maxLimits {
+		rand.Shuffle(len(limits), func(i, j int) { limits[i], limits[j] = limits[j], limits[i] })
+		limits = limits[:maxLimits]
 	}
-	for _, t := range told {
+	for _, t := range limits {
 		msg.Limited = append(msg.Limited, t.Endpoint)
 		msg.Limit = append(msg.Limit, ratelimit.Thousandths(t.Limit))
 		msg.LimitAgeMs = append(msg.LimitAgeMs, uint32(t.Age.Milliseconds()))
@@ -65,7 +65,7 @@
 	}
 }
 
-func (l *Loads) hearLimits(msg *meshpb.Load) {
+func (l *Loads) receiveLimits(msg *meshpb.Load) {
 	limits := make([]ratelimit.Told, 0, len(msg.Limited))
 	for i, id := range msg.Limited {
 		limits = append(limits, ratelimit.Told{Endpoint: id, Limit: ratelimit.OfThousandths(msg.Limit[i]),
--- a/mesh/loads.go
+++ b/mesh/loads.go
@@ -18,36 +18,36 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-// Telling of loads.
+// Publishing of loads.
 const (
-	// tellInterval is the time between regular tellings while there are few entries
-	// to tell, tellLarge where there are more than tellAll. In between, work that
-	// others should know of is told at once. With regular tellings alone, 195 entries
-	// before 124 engines knew so little of each other's long prompts that the 90th
-	// percentile of the wait at an engine was 305 ms; with these it is 82 ms
-	// (place.TestACrowdOfEntriesDoesNotHerd), for as many datagrams.
-	tellInterval = 250 * time.Millisecond
-	tellLarge    = time.Second
-	// tellEach is the time in which an entry may send one datagram, so that it sends
-	// and takes no more than some hundred a second; tellBurst is how many it may
-	// send after a pause.
-	tellEach  = 8 * time.Millisecond
-	tellBurst = 200
-	// tellAll is up to how many entries all are told; beyond, those of the
-	// own failure domain, whose engines an entry mostly uses.
-	tellAll = 16
-	// mostTold bounds the entries told, drawn anew each time: more than two failure
-	// domains have at the size that is planned for.
-	mostTold = 96
-	// mostDatagram fits an Ethernet frame.
-	mostDatagram = 1400
-	// mostEndpoints, mostLoads and mostLimits fit a datagram together.
-	mostEndpoints = 70
-	mostLoads     = 50
-	mostLimits    = 25
+	// publishInterval is the time between periodic datagrams in a fleet of up to
+	// publishToAllLimit entries; largeFleetInterval applies to larger ones. In between, new
+	// work that other entries need to know of is published at once. With periodic datagrams
+	// only, 195 entries sharing 124 engines knew too little of each other's long prompts and
+	// the 90th percentile of the wait at an engine was 305 ms; with both it is 82 ms for as
+	// many datagrams (place.TestACrowdOfEntriesDoesNotHerd).
+	publishInterval    = 250 * time.Millisecond
+	largeFleetInterval = time.Second
+	// datagramInterval is the average time between datagrams sent by one entry, so that an
+	// entry sends and receives no more than some hundred a second; datagramBurst is how many
+	// it may send after a pause.
+	datagramInterval = 8 * time.Millisecond
+	datagramBurst    = 200
+	// publishToAllLimit is the largest fleet in which every entry is a recipient. In larger
+	// ones it is those of the own failure domain, whose engines an entry mostly uses.
+	publishToAllLimit = 16
+	// maxRecipients bounds the recipients, a new random selection each time. It is more than
+	// two failure domains have at the planned size.
+	maxRecipients = 96
+	// maxDatagramBytes fits an Ethernet frame.
+	maxDatagramBytes = 1400
+	// maxEndpoints, maxLoads and maxLimits together fit a datagram.
+	maxEndpoints = 70
+	maxLoads     = 50
+	maxLimits    = 25
 )
 
-// LoadsDeps is what the telling of loads needs.
+// LoadsDeps are the dependencies of Loads.
 type LoadsDeps struct {
 	Instance, Domain string
 	Address          string // IP:port, for datagrams
@@ -59,52 +59,53 @@
 	Log              *slog.Logger
 }
 
-// Loads tells other entries what work this one has outstanding at which endpoint, what
-// endpoints told it of their load, how many repeats it makes, and how many requests it has
-// sent to endpoints that name a limit; and it takes what they tell. Datagrams fit: one that is lost or late is worth nothing a moment later.
+// Loads publishes this entry's outstanding work by endpoint, the loads that endpoints
+// reported to it, its retries, and the requests it sent to endpoints that name a limit; and
+// it receives the same from other entries. It uses datagrams, as a lost or late one is
+// worthless a moment later.
 type Loads struct {
 	LoadsDeps
-	conn  net.PacketConn
-	quiet bool // the last datagram told of nothing
-	pace  pace
+	conn        net.PacketConn
+	lastEmpty   bool // the last datagram carried no work, loads or limits
+	sendLimiter sendLimiter
 }
 
-// NewLoads returns the telling of loads.
+// NewLoads returns a Loads; Run starts it.
 func NewLoads(d LoadsDeps) *Loads { return &Loads{LoadsDeps: d} }
 
-// Run tells and listens until ctx ends.
+// Run publishes and receives until ctx ends.
 func (l *Loads) Run(ctx context.Context) {
 	conn, err := net.ListenPacket("udp", l.Address)
 	if err != nil {
-		l.Log.Error("mesh: loads are not told; placing goes by this entry's own.", "address", l.Address, "error", err)
+		l.Log.Error("mesh: cannot open the datagram socket; loads are not exchanged.", "address", l.Address, "error", err)
 		return
 	}
 	l.conn = conn
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	go l.listen()
-	go l.runLimits(ctx)
-	for l.awaitTurn(ctx) {
-		others := l.others()
-		l.pace.sent(len(others))
-		l.tell(others)
+	go l.publishLimits(ctx)
+	for l.awaitPublish(ctx) {
+		recipients := l.recipients()
+		l.sendLimiter.sent(len(recipients))
+		l.publish(recipients)
 	}
 }
 
-// awaitTurn waits until there is something to tell and it may be told; it reports
-// whether ctx has not ended.
-func (l *Loads) awaitTurn(ctx context.Context) bool {
-	regular := tellInterval
-	if len(l.Fleet.View().Entries) > tellAll {
-		regular = tellLarge
+// awaitPublish waits until a datagram is due and the send limiter allows it; it returns
+// false once ctx has ended.
+func (l *Loads) awaitPublish(ctx context.Context) bool {
+	interval := publishInterval
+	if len(l.Fleet.View().Entries) > publishToAllLimit {
+		interval = largeFleetInterval
 	}
 	select {
-	case <-l.Clock.After(time.Duration(float64(regular) * (0.9 + rand.Float64()/5))):
+	case <-l.Clock.After(time.Duration(float64(interval) * (0.9 + rand.Float64()/5))):
 	case <-l.Board.Grew():
 	case <-ctx.Done():
 		return false
 	}
-	wait := l.pace.wait(l.Clock.Now())
+	wait := l.sendLimiter.wait(l.Clock.Now())
 	if wait <= 0 {
 		return true
 	}
@@ -116,28 +117,28 @@
 	}
 }
 
-// pace bounds the datagrams sent; the zero pace may send a burst. It is not safe for
-// concurrent use.
-type pace struct {
-	credit float64 // datagrams that may be sent now; below zero: owed
-	at     time.Time
+// sendLimiter is a token bucket that bounds the datagrams sent; the zero value allows a
+// burst. It is not safe for concurrent use.
+type sendLimiter struct {
+	tokens  float64 // datagrams that may be sent now; negative if overdrawn
+	updated time.Time
 }
 
-// wait is how long no more may be sent.
-func (p *pace) wait(now time.Time) time.Duration {
-	p.credit = min(tellBurst, p.credit+float64(now.Sub(p.at))/float64(tellEach))
-	p.at = now
-	return time.Duration(max(0, -p.credit) * float64(tellEach))
+// wait returns how long to wait before sending more.
+func (p *sendLimiter) wait(now time.Time) time.Duration {
+	p.tokens = min(datagramBurst, p.tokens+float64(now.Sub(p.updated))/float64(datagramInterval))
+	p.updated = now
+	return time.Duration(max(0, -p.tokens) * float64(datagramInterval))
 }
 
-// sent notes datagrams that were sent.
-func (p *pace) sent(n int) { p.credit -= float64(n) }
+// sent takes the tokens for n datagrams that were sent.
+func (p *sendLimiter) sent(n int) { p.tokens -= float64(n) }
 
-// others are the addresses to tell: in a large fleet those that use the same engines,
-// which are the entries of the own failure domain and of those where this one has long
-// work outstanding. A long prompt that goes to the engine whose cache holds a part of it
-// goes mostly to another domain, and the entries there would send to that engine too.
-func (l *Loads) others() []string {
+// recipients returns the addresses to publish to. In a large fleet these are the entries
+// that use the same engines: those of the own failure domain and of the domains where this
+// entry has long work outstanding. A long prompt sent to the engine that has part of it in
+// its cache mostly goes to another domain, whose entries would send to that engine too.
+func (l *Loads) recipients() []string {
 	entries := l.Fleet.View().Entries
 	domains := l.Board.WorkDomains()
 	domains[l.Domain] = true
@@ -146,52 +147,52 @@
 		if e.Instance == l.Instance || e.Loads == "" {
 			continue
 		}
-		if len(entries) <= tellAll || domains[e.Domain] {
+		if len(entries) <= publishToAllLimit || domains[e.Domain] {
 			out = append(out, e.Loads)
 		}
 	}
-	if len(out) > mostTold {
+	if len(out) > maxRecipients {
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		out = out[:mostTold]
+		out = out[:maxRecipients]
 	}
 	return out
 }
 
-func (l *Loads) tell(others []string) {
+func (l *Loads) publish(recipients []string) {
 	raw, empty, err := l.Datagram()
 	if err != nil {
 		l.Log.Error("mesh: loads cannot be encoded.", "error", err)
 		return
 	}
-	if empty && l.quiet {
+	if empty && l.lastEmpty {
 		return
 	}
-	l.quiet = empty
-	l.send(raw, others)
+	l.lastEmpty = empty
+	l.send(raw, recipients)
 }
 
-func (l *Loads) send(raw []byte, others []string) {
-	for _, address := range others {
+func (l *Loads) send(raw []byte, recipients []string) {
+	for _, address := range recipients {
 		to, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
-			continue // another entry's registration is broken; it will show there
+			continue // the other entry's registration is invalid, which will show at that entry
 		}
-		_, _ = l.conn.WriteTo(raw, to) // a datagram may be lost anyway
+		_, _ = l.conn.WriteTo(raw, to) // datagrams may be lost anyway
 	}
 }
 
-// Datagram is what this entry tells others now; empty: it is nothing that they would miss.
+// Datagram encodes what this entry publishes now; empty reports that it carries no work, loads or limits.
 func (l *Loads) Datagram() (raw []byte, empty bool, err error) {
 	msg := &meshpb.Load{Instance: l.Instance}
 	for id, work := range l.Board.Outstanding() {
-		if len(msg.Endpoint) == mostEndpoints {
+		if len(msg.Endpoint) == maxEndpoints {
 			break
 		}
 		msg.Endpoint = append(msg.Endpoint, place.ShortID(id))
 		msg.WorkMs = append(msg.WorkMs, uint32(work.Milliseconds()))
 	}
 	for _, t := range l.Board.Reports() {
-		if len(msg.Loaded) == mostLoads {
+		if len(msg.Loaded) == maxLoads {
 			break
 		}
 		msg.Loaded = append(msg.Loaded, t.Endpoint)
@@ -212,27 +213,27 @@
 }
 
 func (l *Loads) listen() {
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := l.conn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram met a closed port
+			continue // an earlier datagram was sent to a closed port
 		}
 		l.Hear(buf[:n])
 	}
 }
 
-// Hear takes a datagram of another entry.
+// Hear applies a datagram received from another entry.
 func (l *Loads) Hear(raw []byte) {
 	var msg meshpb.Load
-	if err := proto.Unmarshal(raw, &msg); err != nil || !even(&msg) {
-		l.Log.Debug("mesh: datagram is no load.", "bytes", len(raw))
+	if err := proto.Unmarshal(raw, &msg); err != nil || !columnsMatch(&msg) {
+		l.Log.Debug("mesh: datagram cannot be decoded.", "bytes", len(raw))
 		return
 	}
-	l.hearLimits(&msg)
+	l.receiveLimits(&msg)
 	if msg.LimitsOnly {
 		return
 	}
@@ -255,8 +256,8 @@
 	l.Budget.Hear(msg.Instance, counts)
 }
 
-// even reports whether the columns of a datagram are of equal length.
-func even(msg *meshpb.Load) bool {
+// columnsMatch reports whether the parallel arrays of a datagram have equal lengths.
+func columnsMatch(msg *meshpb.Load) bool {
 	loads, services, limits := len(msg.Loaded), len(msg.Service), len(msg.Limited)
 	return len(msg.Endpoint) == len(msg.WorkMs) &&
 		loads == len(msg.Running) && loads == len(msg.Waiting) && loads == len(msg.LoadAgeMs) &&
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -20,45 +20,45 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-// Times of exchanges.
+// Timing of exchanges.
 const (
-	// calmInterval is the time between exchanges while the store answers:
-	// evidence on a version then reaches eight entries within a second, and a
-	// change of the store an entry that does not watch it within half of one.
-	calmInterval = 300 * time.Millisecond
-	// awayInterval holds while the store does not answer this entry: with a
-	// third of the entries in the same state, ten draws within a second and a
-	// half meet one that is current with all but certainty.
-	awayInterval = 150 * time.Millisecond
-	// callTimeout bounds an exchange: one takes a few milliseconds; one that
-	// takes longer has met a partition or a connection gone silent.
+	// exchangeInterval is the time between exchanges while the store answers. Evidence on a
+	// version then reaches eight entries within a second, and a change of the store reaches
+	// an entry that does not watch it within half a second.
+	exchangeInterval = 300 * time.Millisecond
+	// outageInterval applies while the store does not answer this entry. If a third of the
+	// entries are in the same state, ten random peers within 1.5 s almost certainly include
+	// one that is current.
+	outageInterval = 150 * time.Millisecond
+	// callTimeout bounds an exchange. One normally takes a few milliseconds; a longer one has
+	// hit a partition or a dead connection.
 	callTimeout = 400 * time.Millisecond
 	dialTimeout = 300 * time.Millisecond
-	// wholeTimeout is for an entry that knows nothing: a whole copy of a large
-	// store, over a slow link, takes seconds.
-	wholeTimeout = 3 * time.Second
-	// wholeEvery is how often an entry tells a whole copy. When hundreds start
-	// at once and ask the same few, copies told to all at a time would none of
-	// them arrive.
-	wholeEvery = 200 * time.Millisecond
-	// newsPartners are how many others hear at once of a request that crashes endpoints. It
-	// comes again at any entry within a second, and those that heard tell others in turn.
-	newsPartners = 3
-	// avoidFor is how long an entry that did not answer is left out.
-	avoidFor = 2 * time.Second
-	// deafFor is how long an entry whose knowledge was old, so that it does not
-	// hear the store, is passed over among those that watch it.
-	deafFor = 5 * time.Second
-	// mostRows bounds the evidence told in one exchange.
-	mostRows = 256
-	// crossing times as many exchanges as one entry makes go from a failure domain to
-	// others, however many entries it has: links between domains are shared by all, and
-	// what the watchers of a domain know they have from the others' watchers. With as few
-	// entries as this in a domain all may cross.
-	crossing = 4
+	// snapshotTimeout applies to an entry without any data: a snapshot of a large store takes
+	// seconds over a slow link.
+	snapshotTimeout = 3 * time.Second
+	// snapshotInterval is the minimum time between snapshots sent by one entry. When hundreds
+	// of entries start at once and ask the same few peers, none of the snapshots would arrive
+	// if all were sent at the same time.
+	snapshotInterval = 200 * time.Millisecond
+	// crashFanout is how many peers are told at once of a request that crashes endpoints. The
+	// request comes again at any entry within a second, and those peers pass it on in turn.
+	crashFanout = 3
+	// unreachableFor is how long a peer that did not answer is skipped.
+	unreachableFor = 2 * time.Second
+	// staleFor is how long an entry with old data, which therefore does not receive the
+	// store's changes, is skipped as a watcher.
+	staleFor = 5 * time.Second
+	// maxEvidenceRows bounds the evidence sent in one exchange.
+	maxEvidenceRows = 256
+	// crossDomainExchanges bounds the exchanges from one failure domain to others to this many
+	// times those of one entry, however many entries the domain has: all entries share the
+	// links between domains, and a domain's watchers get the others' data from the watchers
+	// there. In a domain of no more entries than this, all exchanges may cross.
+	crossDomainExchanges = 4
 )
 
-// Deps is what a mesh needs.
+// Deps are the dependencies of a Mesh.
 type Deps struct {
 	Instance string
 	Domain   string
@@ -67,27 +67,27 @@
 	Seeds    []string
 	Fleet    *fleet.Follower
 	Rollouts *rollout.Controller
-	// Quarantine is of requests that crash endpoints.
+	// Quarantine holds the requests that crash endpoints.
 	Quarantine *quarantine.Table
-	// Limits are those that endpoints name.
+	// Limits are the rate limits named by endpoints.
 	Limits *ratelimit.Limits
 	Clock  clockwork.Clock
 	Log    *slog.Logger
 }
 
-// Mesh is one entry's part. It is safe for concurrent use.
+// Mesh exchanges state with the other entries. It is safe for concurrent use.
 type Mesh struct {
 	Deps
 	http *http.Client
 
-	mu     sync.Mutex
-	seeds  []string
-	avoid  map[string]time.Time // address -> until when it is left out
-	deaf   map[string]time.Time // address -> until when it is taken not to hear the store
-	lost   map[string]bool      // addresses whose loss is logged
-	rounds int64
-	failed int64
-	whole  time.Time // when a whole copy was last told
+	mu               sync.Mutex
+	seeds            []string
+	unreachableUntil map[string]time.Time // address -> until when it is skipped
+	staleUntil       map[string]time.Time // address -> until when it does not count as a watcher
+	unreachable      map[string]bool      // addresses logged as not answering
+	exchanges        int64
+	failed           int64
+	lastSnapshot     time.Time // when a snapshot was last sent
 }
 
 var _ meshpb.Mesh = (*Mesh)(nil)
@@ -101,117 +101,117 @@
 		IdleConnTimeout:     15 * time.Second,
 		DisableCompression:  true,
 	}
-	return &Mesh{Deps: d, http: &http.Client{Transport: t}, seeds: d.Seeds, avoid: map[string]time.Time{}, deaf: map[string]time.Time{}, lost: map[string]bool{}}
+	return &Mesh{Deps: d, http: &http.Client{Transport: t}, seeds: d.Seeds, unreachableUntil: map[string]time.Time{}, staleUntil: map[string]time.Time{}, unreachable: map[string]bool{}}
 }
 
-// SetSeeds replaces the seeds, as after a reload of the settings.
+// SetSeeds replaces the seeds, for example after the settings were reloaded.
 func (m *Mesh) SetSeeds(seeds []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = seeds
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges with random peers until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		interval := calmInterval
+		interval := exchangeInterval
 		if m.Fleet.StoreAway() {
-			interval = awayInterval
+			interval = outageInterval
 		}
 		jittered := time.Duration(float64(interval) * (0.75 + rand.Float64()/2))
 		partners := 1
 		select {
 		case <-m.Clock.After(jittered):
 		case <-m.Quarantine.News():
-			partners = newsPartners
+			partners = crashFanout
 		case <-ctx.Done():
 			return
 		}
 		if m.Fleet.View().Revision == 0 && !m.Fleet.StoreAway() {
-			continue // the store is being read, and tells more for less
+			continue // the store is being read, and gives more data at less cost
 		}
-		m.exchangeWithSome(ctx, partners)
+		m.exchangeWithPeers(ctx, partners)
 	}
 }
 
-// exchangeWithSome exchanges with so many others, side by side.
-func (m *Mesh) exchangeWithSome(ctx context.Context, partners int) {
+// exchangeWithPeers exchanges with up to that many random peers concurrently.
+func (m *Mesh) exchangeWithPeers(ctx context.Context, partners int) {
 	addresses := map[string]bool{}
 	for range partners {
-		if address, ok := m.draw(); ok {
+		if address, ok := m.pickPeer(); ok {
 			addresses[address] = true
 		}
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for address := range addresses {
-		all.Go(func() { m.ExchangeWith(ctx, address) })
+		wg.Go(func() { m.ExchangeWith(ctx, address) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// draw picks another entry at random: one of those that watch the store and
-// lately heard it, if this one does not watch; in a large fleet mostly one of its own
-// failure domain. Where there is none, as when all are cut off from the store, and when
-// what this one knows is old, it may be any: of the others, those that reach the store
-// have asked it by themselves.
-func (m *Mesh) draw() (string, bool) {
+// pickPeer returns the address of a random peer. An entry that is current and does not
+// watch the store picks a watcher that is not stale, in a large fleet mostly one of its own
+// failure domain. Other entries pick any peer, and so does this one if there is no such
+// watcher, as when all are cut off from the store: those that reach the store poll it
+// themselves by then.
+func (m *Mesh) pickPeer() (string, bool) {
 	now := m.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := map[string]bool{}
 	watchers := map[string]bool{}
-	nearWatchers := map[string]bool{}
-	here := 0
+	localWatchers := map[string]bool{}
+	localEntries := 0
 	view := m.Fleet.View()
 	for _, e := range view.Entries {
 		known[e.Address] = true
 		if e.Domain == m.Domain {
-			here++
+			localEntries++
 		}
-		if e.Address != m.Address && !now.Before(m.deaf[e.Address]) && view.IsWatcher(e.Instance) {
+		if e.Address != m.Address && !now.Before(m.staleUntil[e.Address]) && view.IsWatcher(e.Instance) {
 			watchers[e.Address] = true
-			nearWatchers[e.Address] = e.Domain == m.Domain
+			localWatchers[e.Address] = e.Domain == m.Domain
 		}
 	}
-	// Seeds may be stale; they count while the store has told of nobody.
+	// Seeds may be outdated; they count only until the store has listed other entries.
 	if len(known) < 2 {
 		for _, s := range m.seeds {
 			known[s] = true
 		}
 	}
 	delete(known, m.Address)
-	var open []string
+	var candidates []string
 	for a := range known {
-		if !now.Before(m.avoid[a]) {
-			open = append(open, a)
+		if !now.Before(m.unreachableUntil[a]) {
+			candidates = append(candidates, a)
 		}
 	}
-	for a, until := range m.avoid {
+	for a, until := range m.unreachableUntil {
 		if now.After(until) && !known[a] {
-			delete(m.avoid, a)
-			delete(m.lost, a)
+			delete(m.unreachableUntil, a)
+			delete(m.unreachable, a)
 		}
 	}
-	for a, until := range m.deaf {
+	for a, until := range m.staleUntil {
 		if now.After(until) {
-			delete(m.deaf, a)
+			delete(m.staleUntil, a)
 		}
 	}
 	if !m.Fleet.Watching() && m.Fleet.Current() {
-		if all := only(open, watchers); len(all) > 0 {
-			open = all
+		if watching := intersect(candidates, watchers); len(watching) > 0 {
+			candidates = watching
 		}
-		if near := only(open, nearWatchers); len(near) > 0 && rand.Float64()*float64(here) >= crossing {
-			open = near
+		if local := intersect(candidates, localWatchers); len(local) > 0 && rand.Float64()*float64(localEntries) >= crossDomainExchanges {
+			candidates = local
 		}
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return open[rand.IntN(len(open))], true
+	return candidates[rand.IntN(len(candidates))], true
 }
 
-func only(addresses []string, in map[string]bool) []string {
+func intersect(addresses []string, in map[string]bool) []string {
 	var out []string
 	for _, a := range addresses {
 		if in[a] {
@@ -221,95 +221,94 @@
 	return out
 }
 
-// ExchangeWith exchanges once with the entry at an address.
+// ExchangeWith does one exchange with the entry at an address.
 func (m *Mesh) ExchangeWith(ctx context.Context, address string) {
 	limit := callTimeout
 	if m.Fleet.View().Revision == 0 {
-		limit = wholeTimeout
+		limit = snapshotTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	client := meshpb.NewMeshProtobufClient("http://"+address, m.http)
-	asked := m.Clock.Now()
-	got, err := client.Exchange(ctx, m.question())
-	m.note(address, err)
+	started := m.Clock.Now()
+	got, err := client.Exchange(ctx, m.request())
+	m.recordResult(address, err)
 	if err == nil {
-		m.noteHearing(address, got)
-		m.merge(got, m.Clock.Since(asked))
+		m.recordFreshness(address, got)
+		m.merge(got, m.Clock.Since(started))
 	}
 }
 
-// noteHearing notes whether an entry that answered hears the store. One that
-// vouches for nothing says nothing of that.
-func (m *Mesh) noteHearing(address string, got *meshpb.ExchangeMessage) {
+// recordFreshness records whether the data of a peer that answered is current. An answer
+// without an age says nothing about that.
+func (m *Mesh) recordFreshness(address string, got *meshpb.ExchangeMessage) {
 	if got.ConfirmedMs < 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if fleet.IsCurrent(time.Duration(got.ConfirmedMs) * time.Millisecond) {
-		delete(m.deaf, address)
+		delete(m.staleUntil, address)
 		return
 	}
-	m.deaf[address] = m.Clock.Now().Add(deafFor)
+	m.staleUntil[address] = m.Clock.Now().Add(staleFor)
 }
 
-// note keeps count, and logs when a peer is lost or back.
-func (m *Mesh) note(address string, err error) {
+// recordResult updates the counters, and logs when a peer stops or resumes answering.
+func (m *Mesh) recordResult(address string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rounds++
-	was := m.lost[address]
+	m.exchanges++
+	was := m.unreachable[address]
 	if err == nil {
-		delete(m.lost, address)
-		delete(m.avoid, address)
+		delete(m.unreachable, address)
+		delete(m.unreachableUntil, address)
 		if was {
 			m.Log.Info("mesh: entry answers again.", "address", address)
 		}
 		return
 	}
 	m.failed++
-	m.avoid[address] = m.Clock.Now().Add(avoidFor)
-	m.lost[address] = true
+	m.unreachableUntil[address] = m.Clock.Now().Add(unreachableFor)
+	m.unreachable[address] = true
 	if !was {
 		m.Log.Warn("mesh: entry does not answer.", "address", address, "error", err)
 	}
 }
 
-// question is what this entry tells the one that it asks. Those that watch the store
-// hear from all the others: an entry that leaves watching to them tells them what it
-// has seen itself, and not what it heard from them.
-func (m *Mesh) question() *meshpb.ExchangeMessage {
-	told, rows, under := m.Rollouts.Tell()
+// request is the message sent to a peer. Watchers receive evidence from all entries, so an
+// entry that relies on them sends only its own evidence, not what it received from them.
+func (m *Mesh) request() *meshpb.ExchangeMessage {
+	orders, evidence, sessions := m.Rollouts.Tell()
 	if !m.Fleet.Watching() && m.Fleet.Current() {
-		rows = slices.DeleteFunc(rows, func(r rollout.Row) bool { return r.Instance != m.Instance })
+		evidence = slices.DeleteFunc(evidence, func(r rollout.Row) bool { return r.Instance != m.Instance })
 	}
-	return m.encode(told, rows, under)
+	return m.encode(orders, evidence, sessions)
 }
 
-// message is what this entry knows, without changes of the store. Watching is
-// told for entries that run another version of the program, which rely on it.
-func (m *Mesh) message() *meshpb.ExchangeMessage {
+// response is this entry's state without changes of the store. Its Watching field is for
+// entries that run another version of the program and depend on it.
+func (m *Mesh) response() *meshpb.ExchangeMessage {
 	return m.encode(m.Rollouts.Tell())
 }
 
-func (m *Mesh) encode(told []rollout.Told, rows []rollout.Row, under []rollout.Session) *meshpb.ExchangeMessage {
+func (m *Mesh) encode(orders []rollout.Told, evidence []rollout.Row, sessions []rollout.Session) *meshpb.ExchangeMessage {
 	out := &meshpb.ExchangeMessage{Instance: m.Instance, Revision: int64(m.Fleet.View().Revision), ConfirmedMs: -1, Watching: m.Fleet.Watching()}
 	if age, ok := m.Fleet.Age(); ok {
 		out.ConfirmedMs = age.Milliseconds()
 	}
-	for _, t := range told {
+	for _, t := range orders {
 		out.Orders = append(out.Orders, &meshpb.Order{Service: t.Service, Ordered: int64(t.Ordered), AgeMs: t.Age.Milliseconds(), Halted: t.Halted, MovedMs: movedMS(t)})
 	}
-	for _, u := range under {
+	for _, u := range sessions {
 		out.Session = append(out.Session, u.Hash)
 		out.SessionAgoMs = append(out.SessionAgoMs, uint32(u.Ago.Milliseconds()))
 	}
-	if len(rows) > mostRows {
-		rand.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
-		rows = rows[:mostRows]
+	if len(evidence) > maxEvidenceRows {
+		rand.Shuffle(len(evidence), func(i, j int) { evidence[i], evidence[j] = evidence[j], evidence[i] })
+		evidence = evidence[:maxEvidenceRows]
 	}
-	for _, r := range rows {
+	for _, r := range evidence {
 		out.Evidence = append(out.Evidence, &meshpb.Evidence{Instance: r.Instance, Boot: r.Boot, Service: r.Service, Ordered: int64(r.Ordered),
 			Route: r.Route, Samples: r.Samples, Failed: r.Failed, Slow: r.Slow, Rank: r.LogTime, Seen: r.Seen, Bad: r.Bad})
 	}
@@ -325,15 +324,15 @@
 	return t.Moved.Milliseconds()
 }
 
-// Exchange implements meshpb.Mesh: it takes what the caller knows and
-// answers with what it lacks.
+// Exchange implements meshpb.Mesh: it merges the caller's state and answers with the
+// changes that the caller lacks.
 func (m *Mesh) Exchange(_ context.Context, in *meshpb.ExchangeMessage) (*meshpb.ExchangeMessage, error) {
-	m.hearRollouts(in)
+	m.mergeRollouts(in)
 	m.Quarantine.HearMessage(in.Suspects)
 	m.Limits.LearnMessage(in.Limits)
-	out := m.message()
+	out := m.response()
 	c := m.Fleet.Since(kv.Revision(in.Revision))
-	if c.Whole && !m.mayTellWhole() {
+	if c.Whole && !m.allowSnapshot() {
 		out.Revision, out.ConfirmedMs, out.Watching = 0, -1, false
 		return out, nil
 	}
@@ -346,22 +345,21 @@
 	return out, nil
 }
 
-// mayTellWhole reports whether a whole copy may be told now, and takes the
-// turn.
-func (m *Mesh) mayTellWhole() bool {
+// allowSnapshot reports whether a snapshot may be sent now; if so, it counts as sent.
+func (m *Mesh) allowSnapshot() bool {
 	now := m.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.whole) < wholeEvery {
+	if now.Sub(m.lastSnapshot) < snapshotInterval {
 		return false
 	}
-	m.whole = now
+	m.lastSnapshot = now
 	return true
 }
 
-// merge takes a peer's answer to an exchange that took so long. The age that it
-// tells may have been on the way for all of that: not counted, knowledge that is
-// passed on over slow links would look younger with each entry.
+// merge applies a peer's response. The round trip is added to the age that it names, since
+// the response may have spent all of that time in transit: without it, data passed on over
+// slow links would appear younger with each entry.
 func (m *Mesh) merge(got *meshpb.ExchangeMessage, took time.Duration) {
 	c := fleet.Changes{Revision: kv.Revision(got.Revision), Whole: got.Whole, Events: make([]kv.Event, 0, len(got.Changes))}
 	for _, ch := range got.Changes {
@@ -375,31 +373,31 @@
 	if got.ConfirmedMs >= 0 {
 		m.Fleet.Merge(got.Instance, c, time.Duration(got.ConfirmedMs)*time.Millisecond+took)
 	}
-	m.hearRollouts(got)
+	m.mergeRollouts(got)
 	m.Quarantine.HearMessage(got.Suspects)
 	m.Limits.LearnMessage(got.Limits)
 }
 
-func (m *Mesh) hearRollouts(in *meshpb.ExchangeMessage) {
-	told := make([]rollout.Told, 0, len(in.Orders))
+func (m *Mesh) mergeRollouts(in *meshpb.ExchangeMessage) {
+	orders := make([]rollout.Told, 0, len(in.Orders))
 	for _, o := range in.Orders {
-		told = append(told, rollout.Told{Service: o.Service, Ordered: kv.Revision(o.Ordered), Age: time.Duration(o.AgeMs) * time.Millisecond, Halted: o.Halted,
+		orders = append(orders, rollout.Told{Service: o.Service, Ordered: kv.Revision(o.Ordered), Age: time.Duration(o.AgeMs) * time.Millisecond, Halted: o.Halted,
 			HasMoved: o.MovedMs >= 0, Moved: time.Duration(o.MovedMs) * time.Millisecond})
 	}
-	rows := make([]rollout.Row, 0, len(in.Evidence))
+	evidence := make([]rollout.Row, 0, len(in.Evidence))
 	for _, e := range in.Evidence {
-		rows = append(rows, rollout.Row{
+		evidence = append(evidence, rollout.Row{
 			Source: rollout.Source{Instance: e.Instance, Boot: e.Boot, Service: e.Service, Ordered: kv.Revision(e.Ordered), Route: e.Route},
 			Counts: rollout.Counts{Samples: e.Samples, Failed: e.Failed, Slow: e.Slow, LogTime: e.Rank, Seen: e.Seen, Bad: e.Bad},
 		})
 	}
-	under := make([]rollout.Session, 0, len(in.Session))
+	sessions := make([]rollout.Session, 0, len(in.Session))
 	for i, hash := range in.Session {
 		if i < len(in.SessionAgoMs) {
-			under = append(under, rollout.Session{Hash: hash, Ago: time.Duration(in.SessionAgoMs[i]) * time.Millisecond})
+			sessions = append(sessions, rollout.Session{Hash: hash, Ago: time.Duration(in.SessionAgoMs[i]) * time.Millisecond})
 		}
 	}
-	m.Rollouts.Hear(told, rows, under)
+	m.Rollouts.Hear(orders, evidence, sessions)
 }
 
 // State is the mesh's part of the state dump.
@@ -409,12 +407,12 @@
 	Lost   []string `json:"lost"`
 }
 
-// State returns the current dump.
+// State returns the current state dump.
 func (m *Mesh) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := State{Rounds: m.rounds, Failed: m.failed}
-	for a := range m.lost {
+	s := State{Rounds: m.exchanges, Failed: m.failed}
+	for a := range m.unreachable {
 		s.Lost = append(s.Lost, a)
 	}
 	return s
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -28,17 +28,17 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // newEntry returns an entry's mesh, served on loopback.
 func newEntry(t *testing.T, name string, seeds ...string) *Mesh {
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	store := memkv.New(clock)
-	f := fleet.NewFollower(fleet.Entry{Instance: name}, store, platform.Values{}, time.Second, clock, quiet)
-	r := rollout.New(rollout.Deps{Instance: name, Boot: 1, Store: store, Decoder: platform.Values{}, View: f.View, Clock: clock, Log: quiet})
-	q := quarantine.New(quarantine.Deps{View: f.View, Clock: clock, Log: quiet})
-	m := New(Deps{Instance: name, Seeds: seeds, Fleet: f, Rollouts: r, Quarantine: q, Limits: newLimits(), Clock: clock, Log: quiet})
+	f := fleet.NewFollower(fleet.Entry{Instance: name}, store, platform.Values{}, time.Second, clock, discardLog)
+	r := rollout.New(rollout.Deps{Instance: name, Boot: 1, Store: store, Decoder: platform.Values{}, View: f.View, Clock: clock, Log: discardLog})
+	q := quarantine.New(quarantine.Deps{View: f.View, Clock: clock, Log: discardLog})
+	m := New(Deps{Instance: name, Seeds: seeds, Fleet: f, Rollouts: r, Quarantine: q, Limits: newLimits(), Clock: clock, Log: discardLog})
 	srv := httptest.NewServer(meshpb.NewMeshServer(m))
 	t.Cleanup(srv.Close)
 	m.Address = strings.TrimPrefix(srv.URL, "http://")
@@ -49,43 +49,43 @@
 	return kv.Event{KV: kv.KeyValue{Key: key, Value: []byte(value), ModRevision: rev}}
 }
 
-func know(m *Mesh, c fleet.Changes) { m.Fleet.Merge("test", c, 0) }
+func mergeChanges(m *Mesh, c fleet.Changes) { m.Fleet.Merge("test", c, 0) }
 
-// Symptom: an entry that starts while the store turns it away serves nothing.
-// It learns everything from another entry, found by its seeds.
-func TestAnEntryLearnsFromAnother(t *testing.T) {
+// Guards against an entry that starts while the store rejects it serving nothing: it copies
+// the whole state from another entry, found by its seeds.
+func TestExchangeCopiesStateAndRemovals(t *testing.T) {
 	is := is.New(t)
 	a := newEntry(t, "a")
-	know(a, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{
+	mergeChanges(a, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{
 		put("op/config", `{"version":3}`, 5), put("servers/e", `{"service":"s","address":"127.0.0.1:1","zone":"d","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1}`, 7)}})
 	b := newEntry(t, "b", a.Address)
-	address, ok := b.draw()
+	address, ok := b.pickPeer()
 	is.True(ok)
 	b.ExchangeWith(context.Background(), address)
 	is.Equal(b.Fleet.View().Config.Version, int64(3))
 	is.Equal(len(b.Fleet.View().Group("s").Ready), 1)
 	is.Equal(b.Fleet.View().Revision, kv.Revision(7))
 
-	know(a, fleet.Changes{Revision: 9, Events: []kv.Event{{Type: kv.EventDelete, KV: kv.KeyValue{Key: "servers/e", ModRevision: 9}}}})
+	mergeChanges(a, fleet.Changes{Revision: 9, Events: []kv.Event{{Type: kv.EventDelete, KV: kv.KeyValue{Key: "servers/e", ModRevision: 9}}}})
 	b.ExchangeWith(context.Background(), address)
-	is.Equal(len(b.Fleet.View().Group("s").Ready), 0) // removals are told too
+	is.Equal(len(b.Fleet.View().Group("s").Ready), 0) // removals are sent too
 }
 
-// An entry that never was current itself vouches for nothing.
-func TestAnEntryThatKnowsNothingTeachesNothing(t *testing.T) {
+// A peer that never was current must not change another entry's state.
+func TestExchangeWithEmptyPeerKeepsState(t *testing.T) {
 	is := is.New(t)
 	a, b := newEntry(t, "a"), newEntry(t, "b")
-	know(b, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
+	mergeChanges(b, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
 	b.ExchangeWith(context.Background(), a.Address)
 	is.Equal(b.Fleet.View().Config.Version, int64(3))
 }
 
-// Symptom: a bad version is halted on the entries that saw it only.
-func TestHaltsAndEvidenceAreTold(t *testing.T) {
+// Guards against a bad version being halted only on the entries that saw it fail.
+func TestExchangeSharesHaltsAndEvidence(t *testing.T) {
 	is := is.New(t)
 	a, b := newEntry(t, "a"), newEntry(t, "b")
 	for _, m := range []*Mesh{a, b} {
-		know(m, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{
+		mergeChanges(m, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{
 			put("op/rollout/s", `{"service":"s","target":"v2","duration_s":60}`, 7)}})
 	}
 	g := a.Fleet.View().Group("s")
@@ -96,16 +96,16 @@
 	is.Equal(b.Rollouts.State()[0].Samples, int64(20))
 	is.True(b.Rollouts.State()[0].Halted)
 	a.ExchangeWith(context.Background(), b.Address)
-	is.Equal(a.Rollouts.State()[0].Samples, int64(20)) // what comes back is not counted twice
+	is.Equal(a.Rollouts.State()[0].Samples, int64(20)) // evidence that comes back is not counted twice
 }
 
-// Guards against a request that crashes endpoints getting through at entries that have not heard of it.
-func TestARequestThatCrashesEndpointsIsToldAtOnce(t *testing.T) {
+// Guards against a request that crashes endpoints passing at entries that were not told of it in time.
+func TestCrashingRequestIsExchangedAtOnce(t *testing.T) {
 	is := is.New(t)
 	a := newEntry(t, "a")
 	b := newEntry(t, "b", a.Address)
-	know(b, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
-	clock := clockwork.NewFakeClock() // no regular exchange is due
+	mergeChanges(b, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
+	clock := clockwork.NewFakeClock() // no periodic exchange is due
 	b.Clock = clock
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -120,9 +120,8 @@
 	<-done
 }
 
-// Symptom: exchanges stall on an entry that is gone.
-// One that does not answer is left out for a while.
-func TestAnEntryThatIsGoneIsLeftOut(t *testing.T) {
+// Guards against exchanges stalling on an unreachable entry: one that does not answer is skipped for a while.
+func TestUnreachablePeerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	gone := newEntry(t, "gone")
 	srv := httptest.NewServer(nil)
@@ -130,27 +129,27 @@
 	srv.Close()
 	b := newEntry(t, "b", gone.Address)
 	b.ExchangeWith(context.Background(), gone.Address)
-	_, ok := b.draw()
+	_, ok := b.pickPeer()
 	is.True(!ok)
 	is.Equal(b.State().Failed, int64(1))
 	is.Equal(b.State().Lost, []string{gone.Address})
 }
 
 func newLimits() *ratelimit.Limits {
-	return ratelimit.New(ratelimit.Deps{Entries: func() []fleet.Entry { return nil }, Clock: clockwork.NewFakeClock(), Log: quiet})
+	return ratelimit.New(ratelimit.Deps{Entries: func() []fleet.Entry { return nil }, Clock: clockwork.NewFakeClock(), Log: discardLog})
 }
 
 func newBudget() *retry.Budget {
 	return retry.New(retry.Bounds{Ratio: 0.9, Extra: 56, Window: 10 * time.Second}, func() int { return 8 }, clockwork.NewFakeClock())
 }
 
-// How many repeats entries make reaches others, and lets them take what is left.
-func TestRepeatsAreTold(t *testing.T) {
+// Retry counts reach other entries, which may then use the rest of the retry budget.
+func TestDatagramSharesRetryCounts(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	budgets := []*retry.Budget{newBudget(), newBudget()}
-	a := NewLoads(LoadsDeps{Instance: "a", Board: place.NewBoard(clock), Budget: budgets[0], Limits: newLimits(), Log: quiet})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: place.NewBoard(clock), Budget: budgets[1], Limits: newLimits(), Log: quiet})
+	a := NewLoads(LoadsDeps{Instance: "a", Board: place.NewBoard(clock), Budget: budgets[0], Limits: newLimits(), Log: discardLog})
+	b := NewLoads(LoadsDeps{Instance: "b", Board: place.NewBoard(clock), Budget: budgets[1], Limits: newLimits(), Log: discardLog})
 	take := func(b *retry.Budget) (n int) {
 		for b.Take("s", retry.ForFailure) {
 			n++
@@ -167,16 +166,16 @@
 	is.NoErr(err)
 	b.Hear(raw)
 	is.True(take(budgets[1]) > 0)
-	is.Equal(take(budgets[0]), alone) // it has heard of nobody
+	is.Equal(take(budgets[0]), alone) // it received no counts from others
 }
 
-// Loads are told in datagrams; what is none is passed over.
-func TestLoadsAreToldAndHeard(t *testing.T) {
+// Outstanding work reaches other entries; a datagram that cannot be decoded is ignored.
+func TestDatagramSharesOutstandingWork(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	from, to := place.NewBoard(clock), place.NewBoard(clock)
-	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: quiet})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: quiet})
+	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
 	_, empty, err := a.Datagram()
 	is.NoErr(err)
 	is.True(empty)
@@ -190,34 +189,34 @@
 	is.Equal(to.Standing("e1").Wait, 250*time.Millisecond)
 }
 
-// Each entry tells all of its failure domain, whose engines it shares, and a bounded
-// number of others, however many there are. With a part of the domain told, the others
-// sent to engines that were just given a long prompt.
-func TestTheNumberToldIsBounded(t *testing.T) {
-	for _, tt := range []struct{ domains, told int }{{13, 25}, {2, mostTold}} {
+// Each entry publishes to all entries of its failure domain, whose engines it shares, and
+// to a bounded number of others, whatever the size of the fleet. When only a part of the
+// domain was told, the rest sent to engines that had just been given a long prompt.
+func TestRecipientsAreBounded(t *testing.T) {
+	for _, tt := range []struct{ domains, want int }{{13, 25}, {2, maxRecipients}} {
 		is := is.New(t)
 		m := newEntry(t, "a")
 		var events []kv.Event
 		for i := range 330 {
 			events = append(events, put(fmt.Sprintf("%si%03d", fleet.EntryPrefix, i), fmt.Sprintf(`{"instance":"i%03d","domain":"d%d","loads":"127.0.0.1:%d"}`, i, i%tt.domains, 1000+i), kv.Revision(i+1)))
 		}
-		know(m, fleet.Changes{Revision: 330, Whole: true, Events: events})
+		mergeChanges(m, fleet.Changes{Revision: 330, Whole: true, Events: events})
 		board := place.NewBoard(m.Clock)
-		l := NewLoads(LoadsDeps{Instance: "i000", Domain: "d0", Fleet: m.Fleet, Board: board, Limits: newLimits(), Log: quiet})
-		is.Equal(len(l.others()), tt.told)
+		l := NewLoads(LoadsDeps{Instance: "i000", Domain: "d0", Fleet: m.Fleet, Board: board, Limits: newLimits(), Log: discardLog})
+		is.Equal(len(l.recipients()), tt.want)
 		board.Begin(fleet.Endpoint{ID: "e1", Domain: "d1"}, time.Second)
-		is.Equal(len(l.others()), min(2*tt.told+1, mostTold)) // those that send to the same engine
+		is.Equal(len(l.recipients()), min(2*tt.want+1, maxRecipients)) // plus those that send to the same engine
 	}
 }
 
-// Symptom: a busy entry sends datagrams without end, and slows its own requests.
-// Events: each long prompt is told at once to thirty others, and many come.
-// Cause: nothing bounds what is told out of turn.
-func TestTellingOutOfTurnIsBounded(t *testing.T) {
+// Guards against a busy entry slowing its own requests with datagrams without limit. Each
+// of many long prompts is published at once to thirty others, and nothing but the limiter
+// bounds these datagrams.
+func TestSendLimiterBoundsDatagrams(t *testing.T) {
 	is := is.New(t)
 	const others, each, long = 70, 10 * time.Millisecond, 10 * time.Second
 	now := time.Unix(0, 0)
-	var p pace
+	var p sendLimiter
 	sent := 0
 	for end := now.Add(long); now.Before(end); now = now.Add(each) {
 		if p.wait(now) > 0 {
@@ -226,20 +225,20 @@
 		p.sent(others)
 		sent += others
 	}
-	is.True(sent <= tellBurst+others+int(long/tellEach))
+	is.True(sent <= datagramBurst+others+int(long/datagramInterval))
 	p.wait(now.Add(time.Minute))
-	is.Equal(p.credit, float64(tellBurst)) // a pause does not save up more
+	is.Equal(p.tokens, float64(datagramBurst)) // a pause saves up one burst at most
 }
 
-// What endpoints told one entry of their load reaches another, with its age.
-func TestLoadsThatEndpointsToldArePassedOn(t *testing.T) {
+// Loads that endpoints reported to one entry reach another, with their age.
+func TestDatagramForwardsEndpointLoads(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	from, to := place.NewBoard(clock), place.NewBoard(clock)
-	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: quiet})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: quiet})
+	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
 	ep := fleet.Endpoint{ID: "e1", Service: "s", Slots: 12}
-	to.Rank([]fleet.Endpoint{ep}, place.Want{}) // it knows the endpoint
+	to.Rank([]fleet.Endpoint{ep}, place.Want{}) // makes the endpoint known to the board
 	from.Begin(ep, 0).Head(&call.Load{Running: 9, Waiting: 2, Slots: 12})
 	clock.Advance(100 * time.Millisecond)
 	raw, empty, err := a.Datagram()
@@ -248,15 +247,14 @@
 	b.Hear(raw)
 	is.Equal(to.Standing("e1").Running, 9)
 	is.Equal(to.Standing("e1").Load, 11.0)
-	is.Equal(len(to.Reports()), 0) // what is hearsay is not passed on as news
+	is.Equal(len(to.Reports()), 0) // received reports are not forwarded again
 }
 
-// Symptom: entries that cannot reach the store stay on an old configuration,
-// though most entries know the new one and answer them.
-// Events: all entries that watch the store for the others are cut off from it,
-// and so is this one. It asks only those that watch, who know no more; the
-// others have long asked the store themselves.
-func TestAnEntryWhoseKnowledgeIsOldAsksEveryone(t *testing.T) {
+// Guards against entries cut off from the store staying on an old configuration though most
+// entries have the new one. This entry and all watchers are cut off; asking watchers only,
+// it finds none that knows more, while the other entries have long polled the store
+// themselves.
+func TestStaleEntryPicksAnyPeer(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m, all := newRelying(t, clock)
@@ -266,17 +264,16 @@
 			watchers++
 		}
 	}
-	is.Equal(len(drawn(m)), watchers)
+	is.Equal(len(pickedPeers(m)), watchers)
 	clock.Advance(3 * time.Second)
-	is.Equal(len(drawn(m)), len(all)-1)
+	is.Equal(len(pickedPeers(m)), len(all)-1)
 }
 
-// Symptom: entries' exchanges are most of the bytes between failure domains, and grow
-// with the fleet.
-// Events: 195 entries each ask one of ten that watch, drawn from all domains, three
-// times a second, and are told hundreds of rows of evidence.
-// Cause: the watchers of the own domain, which know the same, were not preferred.
-func TestExchangesOfALargeFleetStayInTheirDomain(t *testing.T) {
+// Guards against exchanges that make up most of the traffic between failure domains and
+// grow with the fleet. 195 entries each asked one of ten watchers of all domains three
+// times a second, and got hundreds of rows of evidence, as the watchers of the own domain,
+// which have the same data, were not preferred.
+func TestExchangesStayMostlyWithinDomain(t *testing.T) {
 	is := is.New(t)
 	const entries, domains, draws = 195, 6, 3000
 	var all []fleet.Entry
@@ -299,12 +296,12 @@
 	clock := clockwork.NewFakeClock()
 	m := newEntry(t, relying.Instance)
 	m.Clock, m.Address, m.Domain = clock, relying.Address, relying.Domain
-	m.Fleet = fleet.NewFollower(relying, memkv.New(clock), platform.Values{}, time.Second, clock, quiet)
+	m.Fleet = fleet.NewFollower(relying, memkv.New(clock), platform.Values{}, time.Second, clock, discardLog)
 	m.Fleet.SetSinceBoot(func() time.Duration { return clock.Since(time.Time{}) })
-	know(m, fleet.Changes{Revision: entries, Whole: true, Events: events})
+	mergeChanges(m, fleet.Changes{Revision: entries, Whole: true, Events: events})
 	crossed, met := 0, map[string]bool{}
 	for range draws {
-		address, ok := m.draw()
+		address, ok := m.pickPeer()
 		is.True(ok)
 		is.True(watching[address])
 		met[domainOf[address]] = true
@@ -312,57 +309,53 @@
 			crossed++
 		}
 	}
-	// crossing exchanges of a domain's 32 entries together, each as likely to stay.
-	is.True(crossed < draws*2*crossing/(entries/domains))
-	is.Equal(len(met), domains) // what one domain has seen still reaches the others
+	// On average crossDomainExchanges of 32 exchanges of an entry may cross; the bound is twice that.
+	is.True(crossed < draws*2*crossDomainExchanges/(entries/domains))
+	is.Equal(len(met), domains) // evidence of one domain still reaches the others
 }
 
-// Symptom: as above.
-// An entry that leaves watching to others tells them what it has seen itself; what it
-// heard from them they know.
-func TestAnEntryTellsWatchersItsOwnEvidence(t *testing.T) {
+// Guards against evidence traffic growing with the fleet: an entry that relies on watchers
+// sends only its own evidence, as they have the evidence that it received from them.
+func TestRequestToWatcherCarriesOwnEvidenceOnly(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m, _ := newRelying(t, clock)
-	m.Rollouts = rollout.New(rollout.Deps{Instance: m.Instance, Boot: 1, Decoder: platform.Values{}, View: m.Fleet.View, Clock: clock, Log: quiet})
-	know(m, fleet.Changes{Revision: 11, Events: []kv.Event{put("op/rollout/s", `{"service":"s","target":"v2","duration_s":60}`, 11)}})
+	m.Rollouts = rollout.New(rollout.Deps{Instance: m.Instance, Boot: 1, Decoder: platform.Values{}, View: m.Fleet.View, Clock: clock, Log: discardLog})
+	mergeChanges(m, fleet.Changes{Revision: 11, Events: []kv.Event{put("op/rollout/s", `{"service":"s","target":"v2","duration_s":60}`, 11)}})
 	row := rollout.Row{Source: rollout.Source{Instance: "another", Boot: 1, Service: "s", Ordered: 11, Route: "r"}, Counts: rollout.Counts{Samples: 3}}
 	m.Rollouts.Hear(nil, []rollout.Row{row}, nil)
-	is.Equal(len(m.question().Evidence), 0)
-	is.Equal(len(m.message().Evidence), 1) // whoever asks is told
+	is.Equal(len(m.request().Evidence), 0)
+	is.Equal(len(m.response().Evidence), 1) // a response carries all evidence
 	clock.Advance(5 * time.Second)
-	is.Equal(len(m.question().Evidence), 1) // with old knowledge it may be asking one that knows less
+	is.Equal(len(m.request().Evidence), 1) // with stale data the peer may know less
 }
 
-// Symptom: while all that watch the store are cut off from it, every other
-// entry asks it for each change.
-// Events: an entry asks the store by itself, so that its knowledge is current;
-// it goes on asking only those that watch, hears from none of them anything
-// current, and tells nobody either.
-func TestAnEntryPassesOverWatchersThatHearNothing(t *testing.T) {
+// Guards against every other entry polling the store for each change while all watchers are
+// cut off from it. An entry that polls has current data; if it asked only the watchers, it
+// would get nothing current from them and share its data with nobody.
+func TestStaleWatchersAreSkipped(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m, all := newRelying(t, clock)
 	for _, e := range all {
 		if fleet.IsWatcher(all, e) {
-			m.noteHearing(e.Address, &meshpb.ExchangeMessage{ConfirmedMs: 3000})
+			m.recordFreshness(e.Address, &meshpb.ExchangeMessage{ConfirmedMs: 3000})
 		}
 	}
-	is.Equal(len(drawn(m)), len(all)-1)
+	is.Equal(len(pickedPeers(m)), len(all)-1)
 	one := all[0]
 	for _, e := range all {
 		if fleet.IsWatcher(all, e) {
 			one = e
 		}
 	}
-	m.noteHearing(one.Address, &meshpb.ExchangeMessage{ConfirmedMs: 100})
-	is.Equal(drawn(m), map[string]bool{one.Address: true})
+	m.recordFreshness(one.Address, &meshpb.ExchangeMessage{ConfirmedMs: 100})
+	is.Equal(pickedPeers(m), map[string]bool{one.Address: true})
 }
 
-// Symptom: knowledge that is seconds old passes for current.
-// Events: it is passed on from entry to entry over links on which answers wait;
-// each tells how old it was when it answered.
-func TestTheTimeOfAnExchangeCountsToTheAgeOfWhatItTells(t *testing.T) {
+// Guards against data that is seconds old passing for current. Data is passed from entry to
+// entry over slow links, and each response names the age at the time it was sent.
+func TestExchangeDurationAddsToAge(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m, _ := newRelying(t, clock)
@@ -374,7 +367,7 @@
 }
 
 // newRelying returns the mesh of one of ten entries of a failure domain, one
-// for which others watch the store, and what all ten are.
+// that relies on the watchers, and the list of all ten.
 func newRelying(t *testing.T, clock *clockwork.FakeClock) (*Mesh, []fleet.Entry) {
 	t.Helper()
 	var all []fleet.Entry
@@ -392,17 +385,17 @@
 	}
 	m := newEntry(t, relying.Instance)
 	m.Clock, m.Address = clock, relying.Address
-	m.Fleet = fleet.NewFollower(relying, memkv.New(clock), platform.Values{}, time.Second, clock, quiet)
+	m.Fleet = fleet.NewFollower(relying, memkv.New(clock), platform.Values{}, time.Second, clock, discardLog)
 	m.Fleet.SetSinceBoot(func() time.Duration { return clock.Since(time.Time{}) })
-	know(m, fleet.Changes{Revision: 10, Whole: true, Events: events})
+	mergeChanges(m, fleet.Changes{Revision: 10, Whole: true, Events: events})
 	return m, all
 }
 
-// drawn are the entries that a mesh draws in many draws.
-func drawn(m *Mesh) map[string]bool {
+// pickedPeers returns the peers that a mesh picks in many picks.
+func pickedPeers(m *Mesh) map[string]bool {
 	out := map[string]bool{}
-	for range 1000 { // one of nine is left out by all once in 10^50 times
-		if address, ok := m.draw(); ok {
+	for range 1000 { // misses one of nine peers once in 10^50 times
+		if address, ok := m.pickPeer(); ok {
 			out[address] = true
 		}
 	}
@@ -413,21 +406,20 @@
 	f.Add([]byte{})
 	f.Add([]byte{0x0a, 0x01, 'a'})
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		NewLoads(LoadsDeps{Board: place.NewBoard(clockwork.NewFakeClock()), Budget: newBudget(), Limits: newLimits(), Log: quiet}).Hear(raw)
+		NewLoads(LoadsDeps{Board: place.NewBoard(clockwork.NewFakeClock()), Budget: newBudget(), Limits: newLimits(), Log: discardLog}).Hear(raw)
 	})
 }
 
-// Symptom: after all entries were killed, none serves for half a minute.
-// Events: hundreds start at once and ask the same few seeds for everything;
-// the copies fill the seeds' links, and every call ends before its copy has
-// arrived.
-// A whole copy is told now and then; the others ask again, or the store.
-func TestWholeCopiesAreToldOneAfterTheOther(t *testing.T) {
+// Guards against no entry serving for half a minute after all were killed. Hundreds start at
+// once and ask the same few seeds for snapshots; these fill the seeds' links, and every call
+// times out before its snapshot has arrived. With one snapshot sent per snapshotInterval,
+// the others ask again, or ask the store.
+func TestSnapshotsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	a := newEntry(t, "a")
 	clock := clockwork.NewFakeClock()
 	a.Clock = clock
-	know(a, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
+	mergeChanges(a, fleet.Changes{Revision: 7, Whole: true, Events: []kv.Event{put("op/config", `{"version":3}`, 5)}})
 	ask := func(revision int64) *meshpb.ExchangeMessage {
 		got, err := a.Exchange(context.Background(), &meshpb.ExchangeMessage{Instance: "b", Revision: revision})
 		is.NoErr(err)
@@ -436,36 +428,36 @@
 	is.Equal(len(ask(0).Changes), 1)
 	second := ask(0)
 	is.Equal(len(second.Changes), 0)
-	is.Equal(second.ConfirmedMs, int64(-1)) // it vouches for nothing
-	know(a, fleet.Changes{Revision: 8, Events: []kv.Event{put("op/config", `{"version":4}`, 8)}})
-	little := ask(7)
-	is.Equal(len(little.Changes), 1) // what is little is told at once
-	is.True(!little.Whole)
-	is.Equal(len(ask(4).Changes), 0) // what came and went before it read everything, it does not know
-	clock.Advance(wholeEvery)
+	is.Equal(second.ConfirmedMs, int64(-1)) // the response names no age
+	mergeChanges(a, fleet.Changes{Revision: 8, Events: []kv.Event{put("op/config", `{"version":4}`, 8)}})
+	delta := ask(7)
+	is.Equal(len(delta.Changes), 1) // a small difference is sent at once
+	is.True(!delta.Whole)
+	is.Equal(len(ask(4).Changes), 0) // removals before its own snapshot are unknown to it
+	clock.Advance(snapshotInterval)
 	is.Equal(len(ask(0).Changes), 1)
 }
 
-// Guards against a limit exceeded because others hear of requests only when it is the turn of the loads.
-func TestWhatIsSentToALimitedEndpointIsToldAtOnce(t *testing.T) {
+// Guards against a limit being exceeded because others learn of requests only with the next load datagram.
+func TestLimitedRequestIsPublishedAtOnce(t *testing.T) {
 	is := is.New(t)
 	ep := fleet.Endpoint{ID: "e1", Domain: "d0"}
-	clock := clockwork.NewFakeClock() // no regular telling is due
+	clock := clockwork.NewFakeClock() // no periodic datagram is due
 	m := newEntry(t, "a")
-	heard, err := net.ListenPacket("udp", "127.0.0.1:0")
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer heard.Close()
-	know(m, fleet.Changes{Revision: 1, Whole: true, Events: []kv.Event{
-		put(fleet.EntryPrefix+"b", fmt.Sprintf(`{"instance":"b","domain":"d0","loads":%q}`, heard.LocalAddr().String()), 1)}})
-	limits := ratelimit.New(ratelimit.Deps{Instance: "a", Domain: "d0", Entries: func() []fleet.Entry { return m.Fleet.View().Entries }, Clock: clock, Log: quiet})
-	l := NewLoads(LoadsDeps{Instance: "a", Domain: "d0", Address: "127.0.0.1:0", Fleet: m.Fleet, Board: place.NewBoard(clock), Budget: newBudget(), Limits: limits, Clock: clock, Log: quiet})
+	defer conn.Close()
+	mergeChanges(m, fleet.Changes{Revision: 1, Whole: true, Events: []kv.Event{
+		put(fleet.EntryPrefix+"b", fmt.Sprintf(`{"instance":"b","domain":"d0","loads":%q}`, conn.LocalAddr().String()), 1)}})
+	limits := ratelimit.New(ratelimit.Deps{Instance: "a", Domain: "d0", Entries: func() []fleet.Entry { return m.Fleet.View().Entries }, Clock: clock, Log: discardLog})
+	l := NewLoads(LoadsDeps{Instance: "a", Domain: "d0", Address: "127.0.0.1:0", Fleet: m.Fleet, Board: place.NewBoard(clock), Budget: newBudget(), Limits: limits, Clock: clock, Log: discardLog})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 	limits.Named(ep, 2)
 	is.True(limits.Take(ep, 0))
-	buf := make([]byte, mostDatagram)
-	n, _, err := heard.ReadFrom(buf)
+	buf := make([]byte, maxDatagramBytes)
+	n, _, err := conn.ReadFrom(buf)
 	is.NoErr(err)
 	var msg meshpb.Load
 	is.NoErr(proto.Unmarshal(buf[:n], &msg))
