--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,12 +1,12 @@
-// Package retry keeps an entry's share of the fleet's budget of repeats.
+// Package retry enforces an entry's share of the fleet-wide budget of repeats. A repeat is
+// any additional send of a request: a retry, an escalation to a larger model, a trial copy.
 //
-// A request that is sent again loads an endpoint twice. When endpoints fail
-// because they are loaded, unbounded repeats keep them so. The operators
-// bound the repeats of all entries together over a sliding window. Each entry
-// keeps to the same ratio of its own requests, and to its part of what the bound
-// allows besides; where the entries that tell it of theirs leave room, it may go
-// somewhat beyond, as with a few requests a second chance makes one entry short of
-// repeats that others have to spare.
+// A repeated request loads endpoints twice. When endpoints fail because of overload,
+// unbounded repeats keep them overloaded. The operators bound the repeats of all entries
+// together over a sliding window. Each entry applies the same ratio to its own requests and
+// takes an equal part of the extra allowance. It may overdraw its part slightly while the
+// entries that report their counts leave room: at a few requests a second, random variation
+// makes one entry short of repeats that others have to spare.
 package retry
 
 import (
@@ -17,56 +17,56 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// buckets is how finely the window slides.
+// buckets is the number of intervals that the sliding window is divided into.
 const buckets = 10
 
-// Bounds are the operators'.
+// Bounds are the limits on repeats that the operators set.
 type Bounds struct {
-	Ratio  float64       // repeats per request, over a window
-	Extra  float64       // repeats besides, of all entries together
-	Window time.Duration // the window
+	Ratio  float64       // repeats per request within the window
+	Extra  float64       // additional repeats within the window, for all entries together
+	Window time.Duration // length of the sliding window
 }
 
-// Use is what a repeat is for: the share of the bound that it may take up.
+// Use is the purpose of a repeat, as the share of the bound that such repeats may use up.
 type Use float64
 
 const (
-	// ForFailure repeats may take up four fifths of the bound: the rest is for
-	// what the entries' unequal shares of the load make of it.
+	// ForFailure repeats may use up to four fifths of the bound. The rest absorbs the effect
+	// of unequal load across entries.
 	ForFailure Use = 0.8
-	// ForQuality repeats (the same request to a larger model) leave room for
-	// those after failures.
+	// ForQuality repeats (the same request to a larger model) leave room for those
+	// after failures.
 	ForQuality Use = 0.79
-	// ForTrial repeats (copies to an endpoint of a new version, for some seconds
-	// of a roll-out) leave room for those after failures.
+	// ForTrial repeats (copies to an endpoint of a new version for some seconds
+	// of a rollout) leave room for those after failures.
 	ForTrial Use = 0.7
 )
 
-// failuresAhead is how many more repeats after failures are expected for each of the
-// last failuresRecent buckets; quality leaves room for them. Failures come in bursts:
-// when half of the endpoints of a service had crashed, repeats for quality had taken up
-// what the failed requests needed a second later. A burst that is over says nothing more:
-// counted for the whole window, the failures of three seconds kept half to nine in ten
-// doubted answers of each of the next six, at endpoints that were idle.
+// reservedPerFailure is how many further repeats after failures are expected for each one
+// in the last recentBuckets buckets; quality repeats leave room for them. Failures come in
+// bursts: when half of the endpoints of a service crashed, quality repeats used up the budget
+// that failed requests needed a second later. A past burst predicts nothing: with the whole
+// window counted, three seconds of failures kept back half to nine tenths of the doubted
+// answers in each of the next six seconds, although endpoints were idle.
 const (
-	failuresAhead  = 1
-	failuresRecent = 3
+	reservedPerFailure = 1
+	recentBuckets      = 3
 )
 
 const (
-	// beyondOwn times its own part is the most that an entry takes while others leave
-	// room. What they told is up to a second old; if all went to this limit at once,
-	// the repeats would still be within the bound, as no use takes up more than 0.8.
-	beyondOwn = 1.2
-	// toldLife is how long what another entry told counts.
-	toldLife = 3 * time.Second
+	// maxOverdraw times its own part is the most that an entry takes while others leave room.
+	// Reported counts are up to a second old. Even if all entries reached this limit at once,
+	// repeats would stay within the bound, as no use takes more than 0.8 of it.
+	maxOverdraw = 1.2
+	// peerCountsTTL is how long the counts reported by another entry stay valid.
+	peerCountsTTL = 3 * time.Second
 )
 
-// Count is what an entry did for a service within the window.
+// Count is the number of requests and repeats of one service within the window.
 type Count struct {
 	Requests float64
 	Repeats  float64
-	Failures float64 // repeats that were after failures, of late
+	Failures float64 // repeats after failures, in the last recentBuckets buckets
 }
 
 func (c *Count) add(o Count) {
@@ -80,8 +80,8 @@
 	Count
 }
 
-// told is what another entry told of its counts, by service.
-type told struct {
+// peerCounts are the last reported counts of another entry, by service hash.
+type peerCounts struct {
 	counts map[uint32]Count
 	at     time.Time
 }
@@ -94,17 +94,17 @@
 	clock   clockwork.Clock
 	start   time.Time
 
-	mu       sync.Mutex
-	services map[string]*[buckets]bucket
-	told     map[string]told // by entry
+	mu         sync.Mutex
+	services   map[string]*[buckets]bucket
+	peerCounts map[string]peerCounts // by entry
 }
 
-// New returns a budget; entries tells how many entries share the bounds.
+// New returns a budget. The entries function returns the number of entries that share the bounds.
 func New(b Bounds, entries func() int, clock clockwork.Clock) *Budget {
-	return &Budget{bounds: b, entries: entries, clock: clock, start: clock.Now(), services: map[string]*[buckets]bucket{}, told: map[string]told{}}
+	return &Budget{bounds: b, entries: entries, clock: clock, start: clock.Now(), services: map[string]*[buckets]bucket{}, peerCounts: map[string]peerCounts{}}
 }
 
-func (b *Budget) nowLocked(service string) (*[buckets]bucket, int64) {
+func (b *Budget) ringLocked(service string) (*[buckets]bucket, int64) {
 	ring := b.services[service]
 	if ring == nil {
 		ring = &[buckets]bucket{}
@@ -117,30 +117,30 @@
 	return ring, index
 }
 
-// Earn notes a request of a caller for a service.
+// Earn counts a caller's request for a service, which raises the number of repeats allowed.
 func (b *Budget) Earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ring, index := b.nowLocked(service)
+	ring, index := b.ringLocked(service)
 	ring[index%buckets].Requests++
 }
 
-// Take asks for one repeat and reports whether it is allowed.
+// Take reports whether one more repeat is allowed, and counts it if so.
 func (b *Budget) Take(service string, use Use) bool {
 	entries := float64(max(1, b.entries()))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.sumLocked(service)
 	part := b.bounds.Extra / entries
-	within := b.fits(own, part, use)
-	if !within && own.spent(use)+1 <= beyondOwn*b.allowed(own, part, use) {
-		all, n := b.groupLocked(service, own)
-		within = n > 1 && b.fits(all, part*n, use)
+	within := b.allowsOneMore(own, part, use)
+	if !within && own.usedFor(use)+1 <= maxOverdraw*b.allowed(own, part, use) {
+		all, n := b.totalLocked(service, own)
+		within = n > 1 && b.allowsOneMore(all, part*n, use)
 	}
 	if !within {
 		return false
 	}
-	ring, index := b.nowLocked(service)
+	ring, index := b.ringLocked(service)
 	ring[index%buckets].Repeats++
 	if use == ForFailure {
 		ring[index%buckets].Failures++
@@ -148,31 +148,31 @@
 	return true
 }
 
-// fits reports whether one repeat more is allowed of a count, with so much of what the
-// bound allows besides.
-func (b *Budget) fits(c Count, extra float64, use Use) bool {
-	return c.spent(use)+1 <= b.allowed(c, extra, use)
+// allowsOneMore reports whether the bound allows one more repeat on top of a count; extra is
+// the part of the extra allowance that applies.
+func (b *Budget) allowsOneMore(c Count, extra float64, use Use) bool {
+	return c.usedFor(use)+1 <= b.allowed(c, extra, use)
 }
 
 func (b *Budget) allowed(c Count, extra float64, use Use) float64 {
 	return float64(use) * (b.bounds.Ratio*c.Requests + extra)
 }
 
-// spent are the repeats that count for a use.
-func (c Count) spent(use Use) float64 {
+// usedFor returns the repeats charged against the share of a use.
+func (c Count) usedFor(use Use) float64 {
 	if use == ForQuality {
-		return c.Repeats + failuresAhead*c.Failures
+		return c.Repeats + reservedPerFailure*c.Failures
 	}
 	return c.Repeats
 }
 
-// sumLocked is this entry's count of a service.
+// sumLocked returns this entry's count of a service.
 func (b *Budget) sumLocked(service string) Count {
-	ring, index := b.nowLocked(service)
+	ring, index := b.ringLocked(service)
 	var sum Count
 	for _, s := range ring {
 		age := index - s.index
-		if age >= failuresRecent {
+		if age >= recentBuckets {
 			s.Failures = 0
 		}
 		if age < buckets {
@@ -182,15 +182,15 @@
 	return sum
 }
 
-// groupLocked adds what other entries told of late; n is how many entries that is,
-// with this one.
-func (b *Budget) groupLocked(service string, own Count) (sum Count, n float64) {
+// totalLocked adds the current counts of other entries to this entry's own; n is the number
+// of entries included.
+func (b *Budget) totalLocked(service string, own Count) (sum Count, n float64) {
 	now := b.clock.Now()
-	key := shortName(service)
+	key := serviceHash(service)
 	sum, n = own, 1
-	for entry, t := range b.told {
-		if now.Sub(t.at) > toldLife {
-			delete(b.told, entry)
+	for entry, t := range b.peerCounts {
+		if now.Sub(t.at) > peerCountsTTL {
+			delete(b.peerCounts, entry)
 			continue
 		}
 		sum.add(t.counts[key])
@@ -199,34 +199,34 @@
 	return sum, n
 }
 
-// ServiceCount is an entry's count of one service, as entries tell each other.
+// ServiceCount is an entry's count of one service, as exchanged between entries.
 type ServiceCount struct {
-	Service uint32 // a hash of its name
+	Service uint32 // hash of the service name
 	Count
 }
 
-// Counts returns this entry's counts, for others to be told.
+// Counts returns this entry's counts for sending to other entries.
 func (b *Budget) Counts() []ServiceCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]ServiceCount, 0, len(b.services))
 	for name := range b.services {
 		if c := b.sumLocked(name); c != (Count{}) {
-			out = append(out, ServiceCount{shortName(name), c})
+			out = append(out, ServiceCount{serviceHash(name), c})
 		}
 	}
 	return out
 }
 
-// Hear takes the counts of another entry; they replace what that told before.
+// Hear stores the counts of another entry, replacing its earlier ones.
 func (b *Budget) Hear(entry string, counts []ServiceCount) {
-	t := told{counts: make(map[uint32]Count, len(counts)), at: b.clock.Now()}
+	t := peerCounts{counts: make(map[uint32]Count, len(counts)), at: b.clock.Now()}
 	for _, c := range counts {
 		t.counts[c.Service] = c.Count
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told[entry] = t
+	b.peerCounts[entry] = t
 }
 
-func shortName(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
+func serviceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -14,11 +14,10 @@
 
 var bounds = Bounds{Ratio: 0.9, Extra: 56, Window: 10 * time.Second}
 
-// Symptom: endpoints that are overloaded are kept so by repeats.
-// Events: everything fails for a while; each request asks for repeats, on
-// every entry, however unequal their loads.
-// In no window do the repeats of all entries exceed the operators' bound.
-func TestRepeatsOfAllEntriesKeepTheBound(t *testing.T) {
+// Guards against repeats that keep overloaded endpoints overloaded. All requests fail for a
+// while and ask for repeats on entries with unequal load. In no window may the repeats of
+// all entries together exceed the operators' bound.
+func TestRepeatsOfAllEntriesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const entries = 4
 		clock := clockwork.NewFakeClock()
@@ -71,7 +70,7 @@
 	})
 }
 
-func TestRepeatsForQualityLeaveRoomForThoseAfterFailures(t *testing.T) {
+func TestQualityRepeatsLeaveRoomForFailures(t *testing.T) {
 	is := is.New(t)
 	b := New(bounds, func() int { return 8 }, clockwork.NewFakeClock())
 	for range 100 {
@@ -89,7 +88,7 @@
 	is.Equal(quality+failure, 77) // 0.8 of them
 }
 
-func TestRepeatsComeBackWithTheWindow(t *testing.T) {
+func TestBudgetRefillsAfterWindow(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := New(bounds, func() int { return 56 }, clock)
@@ -101,12 +100,10 @@
 	is.True(b.Take("s", ForFailure))
 }
 
-// Symptom: requests on endpoints that crashed fail, though the operators' bound
-// on repeats is not reached.
-// Events: a few calls fail; repeats for quality go on and take up what the many
-// that fail a second later would need.
-// After failures, quality leaves room for more of them.
-func TestRepeatsForQualityYieldToFailures(t *testing.T) {
+// Guards against failed requests being refused a repeat while the bound is not reached: a few
+// calls fail, and quality repeats use up the budget that many failures need a second later.
+// After failures, quality repeats leave room for more of them.
+func TestQualityRepeatsReserveForRecentFailures(t *testing.T) {
 	is := is.New(t)
 	b := New(bounds, func() int { return 8 }, clockwork.NewFakeClock())
 	for range 100 {
@@ -123,16 +120,15 @@
 	for b.Take("s", ForFailure) {
 		failure++
 	}
-	is.Equal(quality, 76-30-30*failuresAhead)
+	is.Equal(quality, 76-30-30*reservedPerFailure)
 	is.True(failure >= 30)
 }
 
-// Symptom: on a calm day one doubted answer in fifteen is kept for want of a repeat,
-// though the fleet makes two thirds of the repeats that operators allow.
-// Events: an entry has two requests a second; by chance more of its answers are
-// doubted than usual.
-// Cause: it knew nothing of the others, and kept to its own part.
-func TestAnEntryTakesRepeatsThatOthersLeave(t *testing.T) {
+// Guards against doubted answers being kept for lack of budget while the fleet makes only two
+// thirds of the repeats that operators allow; one in fifteen was. An entry with two requests a
+// second by chance doubts more answers than usual, and was held to its own part because it
+// knew nothing of the other entries' use.
+func TestEntryUsesBudgetLeftByOthers(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	take := func(othersRepeat float64) int {
@@ -141,7 +137,7 @@
 			b.Earn("s")
 		}
 		for _, entry := range []string{"i2", "i3"} {
-			b.Hear(entry, []ServiceCount{{shortName("s"), Count{Requests: 20, Repeats: othersRepeat}}})
+			b.Hear(entry, []ServiceCount{{serviceHash("s"), Count{Requests: 20, Repeats: othersRepeat}}})
 		}
 		n := 0
 		for b.Take("s", ForQuality) {
@@ -151,12 +147,12 @@
 	}
 	const own = 19 // 0.79 of 18 + 7
 	is.Equal(take(20), own)
-	is.Equal(take(5), 23)     // beyondOwn of that
-	is.Equal(take(19), own+2) // 0.79 of 54 + 21, less theirs
-	// What was told long ago does not count.
+	is.Equal(take(5), 23)     // maxOverdraw times that
+	is.Equal(take(19), own+2) // less the repeats of the others
+	// Expired counts are ignored.
 	b := New(bounds, func() int { return 8 }, clock)
-	b.Hear("i2", []ServiceCount{{shortName("s"), Count{Requests: 1000}}})
-	clock.Advance(toldLife + time.Millisecond)
+	b.Hear("i2", []ServiceCount{{serviceHash("s"), Count{Requests: 1000}}})
+	clock.Advance(peerCountsTTL + time.Millisecond)
 	for range 20 {
 		b.Earn("s")
 	}
@@ -167,11 +163,10 @@
 	is.Equal(n, own)
 }
 
-// Symptom: answers that their model doubts are kept for ten seconds after some endpoints
-// crashed, though the others are idle.
-// Events: a burst of failures takes repeats, and is over.
-// Cause: as many failures again were expected as long as the burst was in the window.
-func TestABurstOfFailuresThatIsOverKeepsNothingBack(t *testing.T) {
+// Guards against doubted answers being kept back for ten seconds after some endpoints crashed,
+// although the others are idle. As long as a burst of failures was in the window, as many
+// failures again were expected.
+func TestPastFailureBurstReservesNothing(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := New(bounds, func() int { return 8 }, clock)
@@ -181,7 +176,7 @@
 	for range 30 {
 		is.True(b.Take("s", ForFailure))
 	}
-	clock.Advance(failuresRecent * bounds.Window / buckets)
+	clock.Advance(recentBuckets * bounds.Window / buckets)
 	quality := 0
 	for b.Take("s", ForQuality) {
 		quality++
