--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -7,8 +7,7 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// BenchmarkWait is what each candidate that names a limit costs a choice, by the number of
-// entries.
+// BenchmarkWait measures the cost per candidate that announces a limit, by the number of entries.
 func BenchmarkWait(b *testing.B) {
 	for _, n := range []int{8, 72, 330} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -21,7 +20,7 @@
 	}
 }
 
-// BenchmarkWaitWithoutLimits is what a choice costs where no endpoint names a limit.
+// BenchmarkWaitWithoutLimits measures the cost per candidate where no endpoint announces a limit.
 func BenchmarkWaitWithoutLimits(b *testing.B) {
 	l := newGroup(8, 1).all[0]
 	for b.Loop() {
--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Shape of a bucket.
+// Bucket dimensions.
 const (
-	// burst requests may come at once, and burstTime at the limit more: what is sent while
-	// there is room must not have to come at even intervals for all of the limit to be used.
+	// A bucket holds burst requests plus what the limit allows in burstTime. Without this slack
+	// the limit would be fully used only if requests came at even intervals.
 	burst     = 2
 	burstTime = 250 * time.Millisecond
-	// mostDebt bounds how far a bucket may be overfull, in time at the limit: an entry that
-	// starts hears of all that was sent before.
-	mostDebt = 3 * time.Second
+	// maxDebt bounds the overfill of a bucket, as time at the limit: an entry that starts
+	// receives the counts of all requests sent before.
+	maxDebt = 3 * time.Second
 )
 
-// bucket leaks at a limit; it holds the requests sent beyond that. The zero bucket is empty.
+// bucket is a leaky bucket: it drains at the limit and holds the requests sent beyond it. The zero
+// value is empty.
 type bucket struct {
 	level float64
 	at    time.Time
@@ -21,23 +22,23 @@
 
 func capacity(limit float64) float64 { return burst + limit*burstTime.Seconds() }
 
-// leak takes out what the limit has allowed since it was last looked at.
-func (b *bucket) leak(now time.Time, limit float64) {
+// drain lowers the level by what the limit has allowed since the last call.
+func (b *bucket) drain(now time.Time, limit float64) {
 	b.level = max(0, b.level-limit*now.Sub(b.at).Seconds())
 	b.at = now
 }
 
-// add puts in requests.
+// add raises the level by n requests, up to the maximum overfill.
 func (b *bucket) add(n, limit float64) {
-	b.level = min(b.level+n, capacity(limit)+1+limit*mostDebt.Seconds())
+	b.level = min(b.level+n, capacity(limit)+1+limit*maxDebt.Seconds())
 }
 
-// wait is how long until there is room for a request that leaves so much room. The bucket
-// leaks at limit, and its capacity is that of the full limit.
-func (b *bucket) wait(leaves, limit, full float64) time.Duration {
-	over := b.level + 1 + leaves - capacity(full)
-	if over <= 0 {
+// wait returns how long until the bucket has room for one more request and leaves headroom
+// unused. The bucket drains at limit; its capacity is that of the full limit.
+func (b *bucket) wait(headroom, limit, full float64) time.Duration {
+	excess := b.level + 1 + headroom - capacity(full)
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(over / limit * float64(time.Second))
+	return time.Duration(excess / limit * float64(time.Second))
 }
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,7 +1,7 @@
-// Package ratelimit keeps the limits that endpoints name: so many requests a second from
-// all entries together.
+// Package ratelimit enforces the request rate limits that endpoints announce; each limit
+// applies to all entries together.
 //
-// Each entry keeps a leaky bucket for each limited endpoint, which the requests of all
-// entries fill, as they tell each other. An entry that does not hear most of the others
-// keeps to its part of the limit.
+// An entry keeps one leaky bucket for each limited endpoint. Entries exchange the number of
+// requests they have sent, so that the requests of all of them fill the bucket. An entry
+// that does not hear from most of the others restricts itself to its share of the limit.
 package ratelimit
--- /dev/null
+++ b/ratelimit/headroom.go
@@ -0,0 +1,45 @@
+package ratelimit
+
+import (
+	"sync"
+	"time"
+)
+
+// A limit counts requests regardless of how much work they are. A limited endpoint takes on
+// most of a service's work if it gets the longest requests, so the others leave room for those.
+const (
+	// A request with at least heavyFactor times the mean work of its service is heavy, and may
+	// use all the room there is.
+	heavyFactor = 2
+	// LightLeaves is the headroom that other requests leave unused, in requests.
+	LightLeaves = 1.0
+	// workGain is the weight of one request in the moving average: about twenty count.
+	workGain = 0.05
+)
+
+// workStats holds the mean work of requests by service. It is safe for concurrent use.
+type workStats struct {
+	mu   sync.Mutex
+	mean map[string]float64 // seconds
+}
+
+// Leaves returns the headroom that a request of a service must leave at a limited endpoint, given how
+// long an endpoint works on it. It adds the request to the mean work of the service.
+func (l *Limits) Leaves(service string, work time.Duration) float64 {
+	w := &l.workStats
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	mean, known := w.mean[service]
+	if !known {
+		mean = work.Seconds()
+	}
+	mean += workGain * (work.Seconds() - mean)
+	if w.mean == nil {
+		w.mean = map[string]float64{}
+	}
+	w.mean[service] = mean
+	if work.Seconds() < heavyFactor*mean {
+		return LightLeaves
+	}
+	return 0
+}
--- a/ratelimit/parse.go
+++ b/ratelimit/parse.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// mostLimit is the highest limit that counts as one, in requests a second.
-const mostLimit = 1e6
+// maxLimit is the highest limit that is accepted, in requests per second.
+const maxLimit = 1e6
 
-// Parse reads a limit of requests a second; what is none counts as not named.
+// Parse parses a limit in requests per second. It returns 0, for no limit, if s is not a valid one.
 func Parse(s string) float64 {
 	limit, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
-	if err != nil || math.IsNaN(limit) || limit <= 0 || limit > mostLimit {
+	if err != nil || math.IsNaN(limit) || limit <= 0 || limit > maxLimit {
 		return 0
 	}
 	return limit
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -12,70 +12,71 @@
 	"github.com/lovageweir/lovageweir/place"
 )
 
-// What is remembered of limits.
+// Lifetimes of limits and peer reports, and how limits are shared.
 const (
-	// lapseAfter is how long a limit holds without news of it, or the time of lapseRequests
-	// at the limit: with each request that the endpoint takes some entry hears of it anew.
-	lapseAfter    = 15 * time.Second
-	lapseRequests = 5
-	// endedFor is how long it is told that an endpoint names its limit no more.
-	endedFor = 5 * time.Second
-	// toldLife is how long an entry counts as heard: those that know of limits tell at
-	// least every second.
-	toldLife = 2500 * time.Millisecond
-	// shareAll is up to how many entries all use a limited endpoint; beyond, those of its
-	// failure domain do, which tell each other what they send.
-	shareAll = 16
-	// otherDomainTakes is when an entry of another failure domain may have taken a
-	// request.
-	otherDomainTakes = time.Second
+	// A limit expires limitTTL after it was last confirmed, or after the time that
+	// limitTTLRequests take at the limit, if that is longer: each request that the endpoint
+	// accepts confirms the limit to some entry.
+	limitTTL         = 15 * time.Second
+	limitTTLRequests = 5
+	// removedTTL is how long entries pass on that an endpoint no longer announces a limit.
+	removedTTL = 5 * time.Second
+	// peerTTL is how long a report from an entry is current: entries that know of limits
+	// report at least once a second.
+	peerTTL = 2500 * time.Millisecond
+	// maxEntriesSharing is the fleet size up to which all entries use a limited endpoint. In
+	// larger fleets only entries of its failure domain do, as only those exchange what they send.
+	maxEntriesSharing = 16
+	// otherDomainDelay is the wait returned where this entry may not use the endpoint: when the
+	// caller retries after it, an entry of another failure domain may take the request.
+	otherDomainDelay = time.Second
 )
 
-// Deps is what limits are kept by.
+// Deps are the dependencies of Limits.
 type Deps struct {
 	Instance string
 	Domain   string
-	Entries  func() []fleet.Entry // all that are known, this one among them
+	Entries  func() []fleet.Entry // all known entries, including this one
 	Clock    clockwork.Clock
 	Log      *slog.Logger
 }
 
-// Limits is what an entry knows of the limits that endpoints name. It is safe for
-// concurrent use; its lock is never held across a call.
+// Limits holds the rate limits announced by endpoints. It is safe for concurrent use; its lock is
+// never held across a network call.
 type Limits struct {
 	Deps
-	known   atomic.Int32 // endpoints in byID, so that nothing is looked up where there is none
-	sent    chan struct{}
-	weights weights
+	limitCount atomic.Int32 // length of byID, so that lookups without any limit skip the lock
+	sent       chan struct{}
+	workStats  workStats
 
 	mu sync.Mutex
-	// byID is by what entries call endpoints among themselves.
-	byID  map[uint32]*limited
-	heard map[string]time.Time // when each entry last told
+	// byID is keyed by the endpoint's short id, which all entries share.
+	byID  map[uint32]*limitedEndpoint
+	heard map[string]time.Time // time of the last report, by entry
 }
 
-// limited is an endpoint that names a limit, or did a moment ago.
-type limited struct {
-	limit    float64   // requests a second; 0: it names none any more
-	named    time.Time // when the answer that said so came
-	bucket   bucket
-	endpoint fleet.Endpoint    // empty: only others have used it
-	sent     uint32            // by this entry, since it knows of the limit
-	told     map[string]uint32 // the same of other entries, as they last told
+// limitedEndpoint is an endpoint that announces a limit, or did until recently.
+type limitedEndpoint struct {
+	limit     float64   // requests per second; 0: no longer limited
+	updatedAt time.Time // time of the answer that announced the limit
+	bucket    bucket
+	endpoint  fleet.Endpoint    // empty: only other entries have used it
+	sent      uint32            // requests sent by this entry since it learned of the limit
+	peerSent  map[string]uint32 // last reported sent counts, by entry
 }
 
-// New returns limits that know of none.
+// New returns Limits without any limited endpoint.
 func New(d Deps) *Limits {
-	return &Limits{Deps: d, sent: make(chan struct{}, 1), byID: map[uint32]*limited{}, heard: map[string]time.Time{}}
+	return &Limits{Deps: d, sent: make(chan struct{}, 1), byID: map[uint32]*limitedEndpoint{}, heard: map[string]time.Time{}}
 }
 
-// Any reports whether a limit may be known.
-func (l *Limits) Any() bool { return l.known.Load() > 0 }
+// Any reports whether any limit may be in force.
+func (l *Limits) Any() bool { return l.limitCount.Load() > 0 }
 
-// Sent tells when others should hear at once of requests that were sent.
+// Sent returns a channel that signals requests sent, which other entries should be told of at once.
 func (l *Limits) Sent() <-chan struct{} { return l.sent }
 
-// Named notes what an answer of an endpoint says of its limit; 0: it names none.
+// Named records the limit that an endpoint's answer announces; 0: none.
 func (l *Limits) Named(ep fleet.Endpoint, limit float64) {
 	if limit <= 0 && !l.Any() {
 		return
@@ -83,34 +84,33 @@
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.learnLocked(place.ShortID(ep.ID), ep, limit, now)
+	l.mergeLocked(place.ShortID(ep.ID), ep, limit, now)
 }
 
-// learnLocked takes what is newer than what is known, and reports whether the limit is
-// another one.
-func (l *Limits) learnLocked(id uint32, ep fleet.Endpoint, limit float64, at time.Time) (changed bool) {
+// mergeLocked applies a limit that is newer than the known one, and reports whether it differs.
+func (l *Limits) mergeLocked(id uint32, ep fleet.Endpoint, limit float64, at time.Time) (changed bool) {
 	e := l.byID[id]
-	limit = OfThousandths(Thousandths(max(0, limit))) // as others know it
+	limit = OfThousandths(Thousandths(max(0, limit))) // rounded as on the wire, so that all entries have the same value
 	if e == nil && limit == 0 {
 		return false
 	}
 	if e == nil {
-		e = &limited{endpoint: ep, bucket: bucket{at: l.Clock.Now()}, told: map[string]uint32{}}
+		e = &limitedEndpoint{endpoint: ep, bucket: bucket{at: l.Clock.Now()}, peerSent: map[string]uint32{}}
 		l.byID[id] = e
-		l.known.Store(int32(len(l.byID)))
+		l.limitCount.Store(int32(len(l.byID)))
 	}
-	if !at.After(e.named) {
+	if !at.After(e.updatedAt) {
 		return false
 	}
 	changed = limit != e.limit
 	if changed {
 		l.Log.Info("ratelimit: endpoint names another limit.", "endpoint", e.endpoint.ID, "short_id", id, "per_second", limit, "before", e.limit)
 	}
-	e.limit, e.named = limit, at
+	e.limit, e.updatedAt = limit, at
 	return changed
 }
 
-// Limit is the limit that an endpoint names, in requests a second; 0: none.
+// Limit returns the limit of an endpoint in requests per second; 0: none.
 func (l *Limits) Limit(ep fleet.Endpoint) float64 {
 	if !l.Any() {
 		return 0
@@ -124,9 +124,9 @@
 	return 0
 }
 
-// Take takes a request from an endpoint's limit, if that leaves so much room, and reports
-// whether it did.
-func (l *Limits) Take(ep fleet.Endpoint, leaves float64) bool {
+// Take counts one request against an endpoint's limit if that leaves the given headroom unused, and
+// reports whether it did. It always succeeds for an endpoint without a limit.
+func (l *Limits) Take(ep fleet.Endpoint, headroom float64) bool {
 	if !l.Any() {
 		return true
 	}
@@ -137,21 +137,21 @@
 	if e == nil {
 		return true
 	}
-	if l.waitLocked(e, ep, leaves, now) > 0 {
+	if l.waitLocked(e, ep, headroom, now) > 0 {
 		return false
 	}
 	e.bucket.add(1, e.limit)
 	e.sent++
 	select {
 	case l.sent <- struct{}{}:
-	default: // others are about to be told
+	default: // a notification is pending already
 	}
 	return true
 }
 
-// Wait is how long until an endpoint takes another request that leaves so much room; 0: it
-// does now.
-func (l *Limits) Wait(ep fleet.Endpoint, leaves float64) time.Duration {
+// Wait returns how long until an endpoint has room for another request that leaves the given
+// headroom unused; 0: it has room now.
+func (l *Limits) Wait(ep fleet.Endpoint, headroom float64) time.Duration {
 	if !l.Any() {
 		return 0
 	}
@@ -162,16 +162,16 @@
 	if e == nil {
 		return 0
 	}
-	return l.waitLocked(e, ep, leaves, now)
+	return l.waitLocked(e, ep, headroom, now)
 }
 
-// currentLocked is an endpoint whose limit holds; nil: there is none.
-func (l *Limits) currentLocked(id uint32, now time.Time) *limited {
+// currentLocked returns the endpoint if its limit is in force, else nil.
+func (l *Limits) currentLocked(id uint32, now time.Time) *limitedEndpoint {
 	e := l.byID[id]
 	if e == nil {
 		return nil
 	}
-	if now.Sub(e.named) > e.life() {
+	if now.Sub(e.updatedAt) > e.ttl() {
 		l.forgetLocked(id, e)
 		return nil
 	}
@@ -181,54 +181,56 @@
 	return e
 }
 
-// forgetLocked forgets an endpoint of which there was no news for long.
-func (l *Limits) forgetLocked(id uint32, e *limited) {
+// forgetLocked removes an endpoint whose limit has expired.
+func (l *Limits) forgetLocked(id uint32, e *limitedEndpoint) {
 	if e.limit > 0 {
-		l.Log.Info("ratelimit: limit lapses without news.", "endpoint", e.endpoint.ID, "short_id", id, "per_second", e.limit)
+		l.Log.Info("ratelimit: limit expired, not confirmed in time.", "endpoint", e.endpoint.ID, "short_id", id, "per_second", e.limit)
 	}
 	delete(l.byID, id)
-	l.known.Store(int32(len(l.byID)))
+	l.limitCount.Store(int32(len(l.byID)))
 }
 
-// life is how long what is known of the limit holds without news.
-func (e *limited) life() time.Duration {
+// ttl returns how long the state of the limit is valid without confirmation.
+func (e *limitedEndpoint) ttl() time.Duration {
 	if e.limit <= 0 {
-		return endedFor
+		return removedTTL
 	}
-	return max(lapseAfter, time.Duration(lapseRequests/e.limit*float64(time.Second)))
+	return max(limitTTL, time.Duration(limitTTLRequests/e.limit*float64(time.Second)))
 }
 
-// Share reports whether an entry of one failure domain uses the limited endpoints of
-// another, where there are so many entries.
-func Share(entries int, of, endpoint string) bool { return entries <= shareAll || of == endpoint }
+// Share reports whether, in a fleet of that many entries, an entry in entryDomain may use limited
+// endpoints in endpointDomain.
+func Share(entries int, entryDomain, endpointDomain string) bool {
+	return entries <= maxEntriesSharing || entryDomain == endpointDomain
+}
 
-func (l *Limits) waitLocked(e *limited, ep fleet.Endpoint, leaves float64, now time.Time) time.Duration {
+func (l *Limits) waitLocked(e *limitedEndpoint, ep fleet.Endpoint, headroom float64, now time.Time) time.Duration {
 	e.endpoint = ep
-	part := l.leakLocked(e, now)
-	if part <= 0 {
-		return otherDomainTakes
+	share := l.drainLocked(e, now)
+	if share <= 0 {
+		return otherDomainDelay
 	}
-	return e.bucket.wait(leaves, part*e.limit, e.limit)
+	return e.bucket.wait(headroom, share*e.limit, e.limit)
 }
 
-// leakLocked takes out of a bucket what has become free, and returns the part of the limit
-// that this entry and those that it hears may use.
-func (l *Limits) leakLocked(e *limited, now time.Time) float64 {
-	part := 1.0
+// drainLocked drains the bucket up to now, and returns the share of the limit available to this
+// entry and the entries it hears from.
+func (l *Limits) drainLocked(e *limitedEndpoint, now time.Time) float64 {
+	share := 1.0
 	if e.endpoint.Domain != "" {
-		part = l.partLocked(e.endpoint.Domain, now)
+		share = l.shareLocked(e.endpoint.Domain, now)
 	}
-	e.bucket.leak(now, part*e.limit)
-	return part
+	e.bucket.drain(now, share*e.limit)
+	return share
 }
 
-// partLocked is which part of the limit of an endpoint in a failure domain this entry and
-// those that it hears may use. Where it hears most of those that use the endpoint, the
-// others are taken to be gone: less than half of them are cut off together, and keep to
-// their part.
-func (l *Limits) partLocked(domain string, now time.Time) float64 {
+// shareLocked returns the share of a limit that this entry and the entries it hears from may use
+// together, for endpoints of a failure domain. If it hears from most entries that use the endpoint,
+// the others are presumed gone and the whole limit is available: if they are merely cut off, they are
+// less than half, and keep to their own share.
+func (l *Limits) shareLocked(domain string, now time.Time) float64 {
 	entries := l.Entries()
-	sharing, heard, own := 0, 0, false
+	sharing, heard, registered := 0, 0, false
 	for _, e := range entries {
 		if !Share(len(entries), e.Domain, domain) {
 			continue
@@ -236,16 +238,16 @@
 		sharing++
 		switch {
 		case e.Instance == l.Instance:
-			own = true
-		case now.Sub(l.heard[e.Instance]) < toldLife:
+			registered = true
+		case now.Sub(l.heard[e.Instance]) < peerTTL:
 			heard++
 		}
 	}
 	switch {
 	case !Share(len(entries), l.Domain, domain) && sharing > 0:
 		return 0
-	case !own:
-		sharing++ // it is not registered yet
+	case !registered:
+		sharing++ // this entry is not registered yet
 	}
 	if 2*(heard+1) > sharing {
 		return 1
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -18,11 +18,11 @@
 
 var ep = fleet.Endpoint{ID: "e1", Domain: "d0"}
 
-// group is entries that tell each other; domains are as many as given.
+// group is a set of entries that exchange reports, spread over a number of failure domains.
 type group struct {
-	clock  *clockwork.FakeClock
-	all    []*Limits
-	leaves float64 // of the requests that are played
+	clock    *clockwork.FakeClock
+	all      []*Limits
+	headroom float64 // headroom of the simulated requests
 }
 
 func newGroup(n, domains int) *group {
@@ -37,35 +37,35 @@
 	return g
 }
 
-// tell lets one entry tell those that hears says.
+// tell delivers the reports of one entry to those for which hears returns true.
 func (g *group) tell(from int, hears func(to int) bool) {
-	told := g.all[from].Tell()
+	reports := g.all[from].Tell()
 	for to, l := range g.all {
 		if to != from && hears(to) {
-			l.Hear(g.all[from].Instance, told)
+			l.Hear(g.all[from].Instance, reports)
 		}
 	}
 }
 
 func everyone(int) bool { return true }
 
-// demand plays requests at all entries, each of which tells the others some 10 ms after it
-// has sent one, and returns how many the endpoint got in each step of 10 ms. Once a second
-// all learn which limits there are.
+// demand simulates requests at all entries and returns how many the endpoint got in each step of
+// 10 ms. An entry reports to the others about 10 ms after it has sent a request, and every 250 ms in
+// any case. Once a second all learn which limits there are.
 func (g *group) demand(d time.Duration, limit, perStep float64, rng *rand.Rand, hears func(from, to int) bool) []int {
 	const step = 10 * time.Millisecond
 	var got []int
 	for n := range int(d / step) {
-		var news []int
+		var senders []int
 		count := 0
 		for i, l := range g.all {
-			if rng.Float64() < perStep/float64(len(g.all)) && l.Wait(ep, g.leaves) == 0 && l.Take(ep, g.leaves) {
+			if rng.Float64() < perStep/float64(len(g.all)) && l.Wait(ep, g.headroom) == 0 && l.Take(ep, g.headroom) {
 				count++
 				l.Named(ep, limit)
-				news = append(news, i)
+				senders = append(senders, i)
 			}
 			if n%25 == i%25 {
-				news = append(news, i)
+				senders = append(senders, i)
 			}
 		}
 		got = append(got, count)
@@ -75,7 +75,7 @@
 				l.Learn(g.all[0].Tell())
 			}
 		}
-		for _, i := range news {
+		for _, i := range senders {
 			g.tell(i, func(to int) bool { return hears(i, to) })
 		}
 	}
@@ -89,7 +89,7 @@
 	return total
 }
 
-// most is the most in any four seconds.
+// most returns the maximum in any window of four seconds.
 func most(got []int) int {
 	const window = 400
 	most := 0
@@ -99,19 +99,19 @@
 	return most
 }
 
-// demandFor is how many requests a step would go to the endpoint if it named no limit of so
-// many a second: always more than that.
+// demandFor returns the requests per step offered to an endpoint with the given limit, always more
+// than the limit.
 func demandFor(limit float64) float64 { return max(20, 4*limit) / 100 }
 
 func mayGet(limit float64) int { return int(1.5*4*limit) + 5 }
 
-// Guards against a limit exceeded, or left unused, whatever the limit, the number of entries and their load.
-func TestTheLimitIsKeptAndUsed(t *testing.T) {
+// Guards against a limit exceeded or left unused, for any limit, number of entries and distribution of load.
+func TestLimitIsEnforcedAndFullyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.2, 20).Draw(t, "limit")
 		g := newGroup(rapid.IntRange(1, 16).Draw(t, "entries"), 1)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		g.leaves = rapid.SampledFrom([]float64{0, LightLeaves}).Draw(t, "leaves")
+		g.headroom = rapid.SampledFrom([]float64{0, LightLeaves}).Draw(t, "leaves")
 		g.all[0].Named(ep, limit)
 		g.tell(0, everyone)
 		got := g.demand(40*time.Second, limit, demandFor(limit), rng, func(int, int) bool { return true })
@@ -124,8 +124,8 @@
 	})
 }
 
-// Guards against a limit exceeded while what entries tell each other is lost.
-func TestALimitIsKeptWhileTellingIsLost(t *testing.T) {
+// Guards against a limit exceeded while reports between entries are lost.
+func TestLimitIsEnforcedWhenReportsAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.2, 20).Draw(t, "limit")
 		g := newGroup(rapid.IntRange(2, 16).Draw(t, "entries"), 1)
@@ -139,8 +139,8 @@
 	})
 }
 
-// Guards against each side of a partition taking the whole limit.
-func TestEachSideOfAPartitionKeepsItsPart(t *testing.T) {
+// Guards against each side of a network partition using the whole limit.
+func TestPartitionSidesKeepTheirShare(t *testing.T) {
 	is := is.New(t)
 	const limit = 6.0
 	g := newGroup(8, 1)
@@ -152,21 +152,21 @@
 	is.True(float64(sum(got)) >= 0.9*limit*20)
 }
 
-// Guards against the part of entries that are gone left unused.
-func TestThePartOfLostEntriesIsUsed(t *testing.T) {
+// Guards against the share of entries that are gone being left unused.
+func TestShareOfLostEntriesIsUsed(t *testing.T) {
 	is := is.New(t)
 	const limit = 4.0
 	g := newGroup(8, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	g.all[0].Named(ep, limit)
 	g.tell(0, everyone)
-	g.all = g.all[:6] // two are gone, and still registered
+	g.all = g.all[:6] // two are gone but still registered
 	got := g.demand(20*time.Second, limit, 1, rng, func(int, int) bool { return true })
 	is.True(float64(sum(got)) >= 0.9*limit*20)
 }
 
-// Guards against a limit that nobody names any more holding for ever.
-func TestALimitLapsesWithoutNews(t *testing.T) {
+// Guards against a limit that is no longer announced staying in force forever.
+func TestLimitExpiresUnlessConfirmed(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
@@ -174,14 +174,14 @@
 	for l.Take(ep, 0) {
 	}
 	is.True(l.Wait(ep, 0) > 0)
-	g.clock.Advance(l.byID[g.all[0].Tell()[0].Endpoint].life() + time.Millisecond)
+	g.clock.Advance(l.byID[g.all[0].Tell()[0].Endpoint].ttl() + time.Millisecond)
 	for range 100 {
 		is.True(l.Take(ep, 0))
 	}
 }
 
-// Guards against the news that a limit has ended reaching one entry only.
-func TestTheEndOfALimitIsTold(t *testing.T) {
+// Guards against the removal of a limit reaching only one entry.
+func TestLimitRemovalPropagates(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
 	g.all[0].Named(ep, 0.5)
@@ -191,16 +191,16 @@
 	g.clock.Advance(time.Millisecond)
 	g.all[0].Named(ep, 0)
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
-	g.tell(1, everyone) // older news changes nothing
+	g.tell(1, everyone) // an older report changes nothing
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
 	g.tell(0, everyone)
 	is.Equal(g.all[1].Wait(ep, 0), time.Duration(0))
-	g.clock.Advance(endedFor + time.Second)
+	g.clock.Advance(removedTTL + time.Second)
 	is.Equal(len(g.all[0].Tell()), 0)
 }
 
-// Guards against entries that do not hear each other sharing a limit.
-func TestInALargeFleetEntriesOfTheEndpointsDomainUseItsLimit(t *testing.T) {
+// Guards against entries that do not exchange reports using the same limit.
+func TestLargeFleetLimitIsUsedWithinDomain(t *testing.T) {
 	is := is.New(t)
 	const limit = 2.0
 	g := newGroup(60, 4)
@@ -208,15 +208,15 @@
 	for _, l := range g.all {
 		l.Named(ep, limit)
 	}
-	is.True(g.all[0].Take(ep, 0))  // of the endpoint's domain
-	is.True(!g.all[1].Take(ep, 0)) // of another
+	is.True(g.all[0].Take(ep, 0))  // in the endpoint's domain
+	is.True(!g.all[1].Take(ep, 0)) // in another domain
 	got := g.demand(20*time.Second, limit, 1, rng, func(from, to int) bool { return from%4 == to%4 })
 	is.True(most(got) <= mayGet(limit))
 	is.True(float64(sum(got)) >= 0.9*limit*20)
 }
 
-// Guards against an entry that starts again counted as having taken what it took before.
-func TestAnEntryThatStartsAgainCountsFromZero(t *testing.T) {
+// Guards against a restarted entry being charged again for what it sent before the restart.
+func TestRestartedEntryCountsFromZero(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
@@ -227,7 +227,8 @@
 	is.True(l.byID[7].bucket.level < 40)
 }
 
-// Guards against a limit used up by requests that are little work, while the others that have no limit are late with long prompts.
+// Guards against light requests using up a limit, while endpoints without a limit are late with
+// long prompts.
 func TestLightRequestsLeaveRoomForHeavyOnes(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(1, 1)
@@ -240,10 +241,10 @@
 		if n%20 == 0 {
 			work = 100 * time.Millisecond
 		}
-		leaves := l.Leaves("s", work)
-		if l.Take(ep, leaves) {
+		headroom := l.Leaves("s", work)
+		if l.Take(ep, headroom) {
 			l.Named(ep, limit)
-			if leaves == 0 {
+			if headroom == 0 {
 				heavy++
 			} else {
 				light++
@@ -253,24 +254,25 @@
 	}
 	is.True(float64(heavy+light) >= 0.9*limit*30) // all of it is used
 	is.True(heavy > 4*light)
-	is.Equal(l.Leaves("plain", 0), 0.0) // where nothing is known of their work all are alike
+	is.Equal(l.Leaves("plain", 0), 0.0) // without known work all requests are alike
 }
 
-// Guards against limits of endpoints that are gone kept, and looked up, for ever.
-func TestALimitOfAnEndpointThatIsGoneIsForgotten(t *testing.T) {
+// Guards against limits of endpoints that are gone being kept, and looked up, forever.
+func TestLimitOfRemovedEndpointIsForgotten(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
 	l.Named(ep, 2)
 	l.Hear("i1", nil)
-	g.clock.Advance(lapseAfter + time.Second)
+	g.clock.Advance(limitTTL + time.Second)
 	is.Equal(len(l.Tell()), 0)
 	is.True(!l.Any())
 	is.Equal(len(l.heard), 0)
 }
 
-// Guards against a log line with each answer because others know a limit in thousandths.
-func TestALimitIsTheSameAsOthersKnowIt(t *testing.T) {
+// Guards against a log line for each answer, because other entries know the limit only in
+// thousandths.
+func TestLimitIsRoundedAsOnTheWire(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
 	g.all[0].Named(ep, 1.23456789)
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -1,19 +1,19 @@
 package ratelimit
 
-// EndpointState is what is known of one endpoint's limit, for the state dump.
+// EndpointState is the state of one endpoint's limit, for the state dump.
 type EndpointState struct {
-	Endpoint  uint32  `json:"endpoint"`   // as entries call it among themselves
-	PerSecond float64 `json:"per_second"` // 0: it names none any more
-	AgeMS     int64   `json:"age_ms"`     // since an answer said so
-	Sent      uint32  `json:"sent"`       // by this entry
+	Endpoint  uint32  `json:"endpoint"`   // short id
+	PerSecond float64 `json:"per_second"` // 0: no longer limited
+	AgeMS     int64   `json:"age_ms"`     // since an answer announced it
+	Sent      uint32  `json:"sent"`       // requests sent by this entry
 }
 
-// State returns the current dump.
+// State returns the current limits for the state dump.
 func (l *Limits) State() []EndpointState {
-	told := l.Tell()
-	out := make([]EndpointState, 0, len(told))
-	for _, t := range told {
-		out = append(out, EndpointState{t.Endpoint, t.Limit, t.Age.Milliseconds(), t.Sent})
+	reports := l.Tell()
+	out := make([]EndpointState, 0, len(reports))
+	for _, r := range reports {
+		out = append(out, EndpointState{r.Endpoint, r.Limit, r.Age.Milliseconds(), r.Sent})
 	}
 	return out
 }
--- a/ratelimit/wire.go
+++ b/ratelimit/wire.go
@@ -7,16 +7,16 @@
 	"github.com/lovageweir/lovageweir/rpc/sharedpb"
 )
 
-// unit is in which parts of a request a second limits are sent.
+// unit is the number of wire units per request per second.
 const unit = 1000
 
-// Thousandths is a limit as entries send it: no limit is sent as none.
+// Thousandths encodes a limit for the wire. It rounds up, so that only 0 is encoded as no limit.
 func Thousandths(limit float64) uint32 { return uint32(min(math.MaxUint32, math.Ceil(limit*unit))) }
 
-// OfThousandths is a limit as it was sent.
+// OfThousandths decodes a limit from the wire.
 func OfThousandths(n uint32) float64 { return float64(n) / unit }
 
-// Message is the limits that are known, as entries send them.
+// Message returns the known limits as a wire message.
 func (l *Limits) Message() []*sharedpb.Limit {
 	var out []*sharedpb.Limit
 	for _, t := range l.Tell() {
@@ -25,10 +25,10 @@
 	return out
 }
 
-// LearnMessage takes the limits that another entry sent, and reports whether one was news.
-func (l *Limits) LearnMessage(told []*sharedpb.Limit) (news bool) {
-	limits := make([]Told, 0, len(told))
-	for _, t := range told {
+// LearnMessage merges the limits in a message of another entry, and reports whether any changed.
+func (l *Limits) LearnMessage(message []*sharedpb.Limit) (changed bool) {
+	limits := make([]Told, 0, len(message))
+	for _, t := range message {
 		limits = append(limits, Told{Endpoint: t.Endpoint, Limit: OfThousandths(t.Thousandths), Age: time.Duration(t.AgeMs) * time.Millisecond})
 	}
 	return l.Learn(limits)
