--- a/place/board.go
+++ b/place/board.go
@@ -12,50 +12,49 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// What the board remembers, and for how long.
+// Lifetimes and weights of the observations on a board.
 const (
-	// reportLife is how long a reported load counts; after it only this
-	// entry's own requests do. Reports come with answers, so a busy endpoint
-	// is reported several times a second.
-	reportLife = 2 * time.Second
-	// failureGain is the weight of one outcome in an endpoint's failure rate:
-	// about the last ten count.
+	// reportTTL is how long a reported load is valid; after it only this entry's own requests
+	// count. Reports come with answers, so a busy endpoint is reported several times a second.
+	reportTTL = 2 * time.Second
+	// failureGain is the weight of one outcome in the failure rate of an endpoint: about the
+	// last ten count.
 	failureGain = 0.15
-	// failureLife is the time in which a failure rate fades by itself, so that
-	// an endpoint that is well again is tried again.
-	failureLife = 4 * time.Second
-	// hardFailures in a row (no connection, a reset, silence) keep requests
-	// away for ejectFirst, doubling up to ejectLongest.
-	hardFailures = 2
-	ejectFirst   = time.Second
-	ejectLongest = 8 * time.Second
-	// fullFor is how long an endpoint that refused counts as full.
-	fullFor = 150 * time.Millisecond
-	// latencyGain is the weight of one first event in the mean.
+	// failureDecay is the time constant of the decay of a failure rate, so that an endpoint that
+	// has recovered is tried again.
+	failureDecay = 4 * time.Second
+	// ejectThreshold consecutive hard failures (no connection, a reset, silence) eject an
+	// endpoint for minEjection, doubling with each further one up to maxEjection.
+	ejectThreshold = 2
+	minEjection    = time.Second
+	maxEjection    = 8 * time.Second
+	// fullTTL is how long an endpoint counts as full after it refused a request.
+	fullTTL = 150 * time.Millisecond
+	// latencyGain is the weight of one first event in the mean latency.
 	latencyGain = 0.2
-	// forgetAfter is when an endpoint that is no longer used is forgotten.
-	forgetAfter = time.Minute
+	// evictAfter is how long the statistics of an unused endpoint are kept.
+	evictAfter = time.Minute
 )
 
-// Outcome is how a request ended at an endpoint.
+// Outcome is the result of a request at an endpoint.
 type Outcome int
 
 // Outcomes.
 const (
-	// Served: the endpoint did what it was asked.
+	// Served: the endpoint completed the request.
 	Served Outcome = iota
-	// Failed: it answered that it failed.
+	// Failed: the endpoint answered with a failure.
 	Failed
-	// Refused: it did not run the request, for lack of room.
+	// Refused: the endpoint did not run the request, for lack of capacity.
 	Refused
-	// Broken: the connection broke, or nothing came.
+	// Broken: the connection broke, or no answer came.
 	Broken
 	// Unreached: the endpoint did not accept a connection.
 	Unreached
-	// Misdirected: the address belongs to another endpoint now.
+	// Misdirected: the address now belongs to another endpoint.
 	Misdirected
-	// Abandoned: the caller left, or the answer was not needed; it says
-	// nothing of the endpoint.
+	// Abandoned: the caller disconnected, or the answer was not needed; this says nothing about
+	// the endpoint.
 	Abandoned
 )
 
@@ -63,53 +62,53 @@
 	return [...]string{"served", "failed", "refused", "broken", "unreached", "misdirected", "abandoned"}[o]
 }
 
-type record struct {
-	inFlight int
-	work     time.Duration // outstanding until the first events
-	report   call.Load
-	reported time.Time
-	own      bool // the endpoint told this entry, not another
-	since    int  // own requests begun less those ended since the report
-	service  string
-	domain   string
-	heard    time.Time
-	failRate float64
-	failedAt time.Time
-	hard     int // hard failures in a row
-	ejected  time.Time
-	ejection time.Duration
-	fullTill time.Time
-	latency  float64 // mean time to the first event, in seconds
-	used     time.Time
-	checked  time.Time // when its reachability was last checked
-	// deadAt is when it was found unreachable; what was sent before is lost.
-	deadAt time.Time
+type endpointStats struct {
+	inFlight            int
+	work                time.Duration // outstanding until the first event of each request
+	report              call.Load
+	reportedAt          time.Time
+	ownReport           bool // received from the endpoint, not from another entry
+	sinceReport         int  // own requests begun less those ended, since the report
+	service             string
+	domain              string
+	lastActivity        time.Time
+	failRate            float64
+	failRateAt          time.Time
+	consecutiveFailures int // hard failures
+	ejectedUntil        time.Time
+	ejection            time.Duration
+	fullUntil           time.Time
+	latency             float64 // mean time to the first event, in seconds
+	lastUsed            time.Time
+	lastChecked         time.Time // when reachability was last checked
+	// unreachableAt is when the endpoint was found unreachable; requests sent before are lost.
+	unreachableAt time.Time
 }
 
-// Board is what this entry knows of endpoints from its own requests. It is
-// safe for concurrent use; its lock is never held across a call.
+// Board holds what this entry knows of endpoints, from its own requests and from reports of other
+// entries. It is safe for concurrent use; its lock is never held across a network call.
 type Board struct {
-	clock   clockwork.Clock
-	mu      sync.Mutex
-	byID    map[fleet.EndpointID]*record
-	told    map[string]told // by entry
-	domains map[string]*domainRecord
-	// short are the ids of byID by what entries call them among themselves.
-	short map[uint32]fleet.EndpointID
-	// services are what is known of all endpoints of each.
-	services map[string]*service
-	// random spreads choices among endpoints that cannot be told apart.
+	clock    clockwork.Clock
+	mu       sync.Mutex
+	byID     map[fleet.EndpointID]*endpointStats
+	peerWork map[string]peerWork // by entry
+	domains  map[string]*domainStats
+	// byShortID maps short ids to the ids in byID.
+	byShortID map[uint32]fleet.EndpointID
+	// services holds statistics over all endpoints of each service.
+	services map[string]*serviceStats
+	// random spreads choices among endpoints that cannot be distinguished.
 	random *rand.Rand
-	// born is when the latest incarnation of each named endpoint started.
-	born  map[string]incarnation
-	swept time.Time
-	// work is what is outstanding at all endpoints, toldWork how much of it others
-	// were told; grew has room for one sign that there is more.
-	work, toldWork time.Duration
-	grew           chan struct{}
+	// born holds the latest incarnation of each named endpoint.
+	born      map[string]incarnation
+	lastSweep time.Time
+	// work is the work outstanding at all endpoints, announcedWork the part of it that other
+	// entries have been sent. workGrew holds one pending signal that there is more.
+	work, announcedWork time.Duration
+	workGrew            chan struct{}
 }
 
-// incarnation is one start of a named endpoint.
+// incarnation is one run of a named endpoint.
 type incarnation struct {
 	id   fleet.EndpointID
 	born int64
@@ -117,42 +116,42 @@
 
 // NewBoard returns an empty board.
 func NewBoard(clock clockwork.Clock) *Board {
-	return &Board{clock: clock, byID: map[fleet.EndpointID]*record{}, told: map[string]told{}, domains: map[string]*domainRecord{},
-		short: map[uint32]fleet.EndpointID{}, services: map[string]*service{}, born: map[string]incarnation{}, swept: clock.Now(), grew: make(chan struct{}, 1),
+	return &Board{clock: clock, byID: map[fleet.EndpointID]*endpointStats{}, peerWork: map[string]peerWork{}, domains: map[string]*domainStats{},
+		byShortID: map[uint32]fleet.EndpointID{}, services: map[string]*serviceStats{}, born: map[string]incarnation{}, lastSweep: clock.Now(), workGrew: make(chan struct{}, 1),
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// Seed makes the board's choices repeat.
+// Seed makes the random choices of the board reproducible.
 func (b *Board) Seed(seed uint64) { b.random = rand.New(rand.NewPCG(seed, seed)) }
 
-func (b *Board) at(id fleet.EndpointID, now time.Time) *record {
+func (b *Board) statsLocked(id fleet.EndpointID, now time.Time) *endpointStats {
 	r := b.byID[id]
 	if r == nil {
-		r = &record{}
+		r = &endpointStats{}
 		b.byID[id] = r
-		b.short[ShortID(id)] = id
+		b.byShortID[ShortID(id)] = id
 	}
-	r.used = now
+	r.lastUsed = now
 	return r
 }
 
-// ofLocked is the record of an endpoint.
-func (b *Board) ofLocked(ep fleet.Endpoint, now time.Time) *record {
-	r := b.at(ep.ID, now)
+// endpointStatsLocked returns the statistics of an endpoint, with its service and domain updated.
+func (b *Board) endpointStatsLocked(ep fleet.Endpoint, now time.Time) *endpointStats {
+	r := b.statsLocked(ep.ID, now)
 	r.service, r.domain = ep.Service, ep.Domain
 	return r
 }
 
-// sweepLocked forgets endpoints that are not used any more.
+// sweepLocked removes endpoints that are no longer used.
 func (b *Board) sweepLocked(now time.Time) {
-	if now.Sub(b.swept) < forgetAfter {
+	if now.Sub(b.lastSweep) < evictAfter {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for id, r := range b.byID {
-		if r.inFlight == 0 && now.Sub(r.used) > forgetAfter {
+		if r.inFlight == 0 && now.Sub(r.lastUsed) > evictAfter {
 			delete(b.byID, id)
-			delete(b.short, ShortID(id))
+			delete(b.byShortID, ShortID(id))
 		}
 	}
 	for name, latest := range b.born {
@@ -162,11 +161,11 @@
 	}
 }
 
-// busyGain is the weight of one answer's load in how busy a service is: the
-// last ten or so count, a second or two of one entry's.
+// busyGain is the weight of one answer in the utilization of a service: about the last ten count,
+// which one entry receives in a second or two.
 const busyGain = 0.1
 
-// TookLoad notes the load that an endpoint of a service told with an answer.
+// TookLoad records the load that an endpoint of a service reported with an answer.
 func (b *Board) TookLoad(name string, l call.Load) {
 	if l.Slots <= 0 {
 		return
@@ -174,19 +173,19 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.serviceLocked(name)
-	s.busy += busyGain * (float64(l.Running+l.Waiting)/float64(l.Slots) - s.busy)
+	s.utilization += busyGain * (float64(l.Running+l.Waiting)/float64(l.Slots) - s.utilization)
 }
 
-// Busy is how many requests run and wait at a service's endpoints, in parts of
-// their slots, as they told with their last answers. One endpoint's load says
-// little of the others', and the best one is never busy.
+// Busy returns the utilization of a service: running and waiting requests divided by slots, averaged
+// over the last answers. The load of one endpoint says little about the others, and the best endpoint
+// is never busy.
 func (b *Board) Busy(name string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.serviceLocked(name).busy
+	return b.serviceLocked(name).utilization
 }
 
-// Ticket is one request at one endpoint. End must be called once.
+// Ticket tracks one request at one endpoint. The caller must call End.
 type Ticket struct {
 	board  *Board
 	id     fleet.EndpointID
@@ -196,30 +195,29 @@
 	ended  bool
 }
 
-// Begin notes a request sent to an endpoint, and how long that will take to
-// begin its answer.
+// Begin records a request sent to an endpoint, and the expected time until the endpoint begins its answer.
 func (b *Board) Begin(ep fleet.Endpoint, work time.Duration) *Ticket {
 	id := ep.ID
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweepLocked(now)
-	b.bornLocked(ep, now)
-	r := b.ofLocked(ep, now)
+	b.updateIncarnationLocked(ep, now)
+	r := b.endpointStatsLocked(ep, now)
 	if r.inFlight == 0 {
-		r.heard = now // silence counts from when something is awaited
+		r.lastActivity = now // silence is measured from when an answer is awaited
 	}
 	r.inFlight++
-	r.since++
+	r.sinceReport++
 	r.work += work
-	b.grewLocked(work)
+	b.addWorkLocked(work)
 	return &Ticket{board: b, id: id, domain: ep.Domain, begun: now, work: work}
 }
 
-// bornLocked notes which incarnation of an endpoint is in use. What was sent to
-// an earlier one is lost: where that fell silent and started again behind a
-// partition, its connections never end, and callers would wait for nothing.
-func (b *Board) bornLocked(ep fleet.Endpoint, now time.Time) {
+// updateIncarnationLocked records the latest incarnation of an endpoint. Requests sent to an earlier
+// one are lost: if it went silent and restarted behind a network partition, its connections never
+// close, and callers would wait for nothing.
+func (b *Board) updateIncarnationLocked(ep fleet.Endpoint, now time.Time) {
 	if ep.Born == 0 {
 		return
 	}
@@ -229,61 +227,60 @@
 	}
 	b.born[ep.Name] = incarnation{ep.ID, ep.Born}
 	if earlier := b.byID[latest.id]; known && earlier != nil {
-		earlier.deadAt = now
+		earlier.unreachableAt = now
 	}
 }
 
-// Head notes the head of an answer and the load it told, if any.
+// Head records the header of an answer and the load it reports, if any.
 func (t *Ticket) Head(load *call.Load) {
 	b := t.board
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(t.id, now)
-	r.heard = now
+	r := b.statsLocked(t.id, now)
+	r.lastActivity = now
 	b.reachedLocked(t.domain)
 	if load != nil {
-		b.learnErrorLocked(r, *load, now)
-		r.report, r.reported, r.since, r.own = *load, now, 0, true
+		b.updateDeviationLocked(r, *load, now)
+		r.report, r.reportedAt, r.sinceReport, r.ownReport = *load, now, 0, true
 	}
 }
 
-// First notes the first event or the whole answer; it returns how long it
-// took.
+// First records the first event or the whole answer, and returns the time it took.
 func (t *Ticket) First() time.Duration {
 	b := t.board
 	now := b.clock.Now()
 	took := now.Sub(t.begun)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(t.id, now)
-	r.heard = now
+	r := b.statsLocked(t.id, now)
+	r.lastActivity = now
 	if r.latency == 0 {
 		r.latency = took.Seconds()
 	}
 	r.latency += latencyGain * (took.Seconds() - r.latency)
-	t.settleLocked(r)
+	t.releaseWorkLocked(r)
 	return took
 }
 
-// settleLocked takes the request's work off: it is done or will not be.
-func (t *Ticket) settleLocked(r *record) {
+// releaseWorkLocked removes the outstanding work of the request: it is done or will never be.
+func (t *Ticket) releaseWorkLocked(r *endpointStats) {
 	r.work -= t.work
 	t.board.work -= t.work
-	t.board.toldWork = min(t.board.toldWork, t.board.work)
+	t.board.announcedWork = min(t.board.announcedWork, t.board.work)
 	t.work = 0
 }
 
-// Heard notes that something came.
+// Heard records that data was received.
 func (t *Ticket) Heard() {
 	b := t.board
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.at(t.id, now).heard = now
+	b.statsLocked(t.id, now).lastActivity = now
 }
 
-// End notes how the request ended.
+// End records the outcome of the request. Further calls have no effect.
 func (t *Ticket) End(o Outcome) {
 	if t.ended {
 		return
@@ -293,75 +290,74 @@
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(t.id, now)
-	t.settleLocked(r)
+	r := b.statsLocked(t.id, now)
+	t.releaseWorkLocked(r)
 	r.inFlight--
-	r.since--
-	r.outcome(o, now)
+	r.sinceReport--
+	r.recordOutcome(o, now)
 	if o == Unreached {
 		b.unreachedLocked(t.domain, t.id, now)
 	}
 }
 
-func (r *record) outcome(o Outcome, now time.Time) {
+func (r *endpointStats) recordOutcome(o Outcome, now time.Time) {
 	switch o {
 	case Served:
-		r.fail(0, now)
-		r.hard, r.ejection, r.ejected = 0, 0, time.Time{}
+		r.updateFailRate(0, now)
+		r.consecutiveFailures, r.ejection, r.ejectedUntil = 0, 0, time.Time{}
 	case Failed:
-		r.fail(1, now)
-		r.hard = 0
+		r.updateFailRate(1, now)
+		r.consecutiveFailures = 0
 	case Refused:
-		r.fullTill = now.Add(fullFor)
+		r.fullUntil = now.Add(fullTTL)
 	case Broken, Unreached:
-		r.fail(1, now)
-		r.hard++
-		if r.hard >= hardFailures {
+		r.updateFailRate(1, now)
+		r.consecutiveFailures++
+		if r.consecutiveFailures >= ejectThreshold {
 			r.eject(now)
 		}
 	case Misdirected:
-		// This incarnation is gone for good; its registration will follow.
-		r.ejected = now.Add(forgetAfter)
+		// This incarnation is gone for good; its registration will be removed soon.
+		r.ejectedUntil = now.Add(evictAfter)
 	case Abandoned:
 	}
 }
 
-func (r *record) fail(bad float64, now time.Time) {
-	r.failRate = r.faded(now)
+func (r *endpointStats) updateFailRate(bad float64, now time.Time) {
+	r.failRate = r.decayedFailRate(now)
 	r.failRate += failureGain * (bad - r.failRate)
-	r.failedAt = now
+	r.failRateAt = now
 }
 
-func (r *record) faded(now time.Time) float64 {
+func (r *endpointStats) decayedFailRate(now time.Time) float64 {
 	if r.failRate == 0 {
 		return 0
 	}
-	return r.failRate * math.Exp(-now.Sub(r.failedAt).Seconds()/failureLife.Seconds())
+	return r.failRate * math.Exp(-now.Sub(r.failRateAt).Seconds()/failureDecay.Seconds())
 }
 
-func (r *record) eject(now time.Time) {
-	r.ejection = min(max(ejectFirst, 2*r.ejection), ejectLongest)
-	r.ejected = now.Add(r.ejection)
+func (r *endpointStats) eject(now time.Time) {
+	r.ejection = min(max(minEjection, 2*r.ejection), maxEjection)
+	r.ejectedUntil = now.Add(r.ejection)
 }
 
-// Standing is what the board says of an endpoint now.
+// Standing is the current assessment of an endpoint.
 type Standing struct {
 	InFlight int // of this entry
-	// Wait is the work outstanding there, of this entry and of those that told
-	// of theirs.
+	// Wait is the work outstanding there, from this entry and from those that reported theirs.
 	Wait     time.Duration
-	Load     float64 // requests running and waiting there, as far as known
-	Running  int     // as it last told; 0: not of late
+	Load     float64 // estimated requests running and waiting there
+	Running  int     // as last reported; 0: no recent report
 	FailRate float64
 	Ejected  bool
 	Full     bool
-	// Silent is how long nothing came while something was awaited.
+	// Silent is how long nothing was received while requests were in flight.
 	Silent time.Duration
-	// Latency is the mean time to the first event; 0: not known.
+	// Latency is the mean time to the first event; 0: unknown.
 	Latency time.Duration
 }
 
-// Standing returns what is known of an endpoint.
+// Standing returns the current assessment of an endpoint.
 func (b *Board) Standing(id fleet.EndpointID) Standing {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -370,54 +366,54 @@
 }
 
 func (b *Board) standingLocked(id fleet.EndpointID, now time.Time) Standing {
-	wait := b.toldLocked(id, now)
+	wait := b.peerWorkLocked(id, now)
 	r := b.byID[id]
 	if r == nil {
 		return Standing{Wait: wait}
 	}
-	s := Standing{Wait: wait + r.work, InFlight: r.inFlight, Load: float64(r.inFlight), FailRate: r.faded(now), Ejected: now.Before(r.ejected),
-		Full: now.Before(r.fullTill), Latency: time.Duration(r.latency * float64(time.Second))}
-	if now.Sub(r.reported) < reportLife {
-		s.Load = max(s.Load, float64(r.report.Running+r.report.Waiting+r.since))
+	s := Standing{Wait: wait + r.work, InFlight: r.inFlight, Load: float64(r.inFlight), FailRate: r.decayedFailRate(now), Ejected: now.Before(r.ejectedUntil),
+		Full: now.Before(r.fullUntil), Latency: time.Duration(r.latency * float64(time.Second))}
+	if now.Sub(r.reportedAt) < reportTTL {
+		s.Load = max(s.Load, float64(r.report.Running+r.report.Waiting+r.sinceReport))
 		s.Running = r.report.Running
 	}
 	if r.inFlight > 0 {
-		s.Silent = now.Sub(r.heard)
+		s.Silent = now.Sub(r.lastActivity)
 	}
 	return s
 }
 
-// MayCheck reports whether an endpoint's reachability may be checked now, and
-// takes the turn: one check each interval is enough.
+// MayCheck reports whether the reachability of an endpoint may be checked now, and if so starts a new
+// interval: one check per interval is enough.
 func (b *Board) MayCheck(id fleet.EndpointID, interval time.Duration) bool {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(id, now)
-	if now.Sub(r.checked) < interval {
+	r := b.statsLocked(id, now)
+	if now.Sub(r.lastChecked) < interval {
 		return false
 	}
-	r.checked = now
+	r.lastChecked = now
 	return true
 }
 
-// Unreachable notes that an endpoint accepts no connection any more.
+// Unreachable records that an endpoint no longer accepts connections.
 func (b *Board) Unreachable(ep fleet.Endpoint) {
 	id := ep.ID
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(id, now)
-	r.deadAt = now
+	r := b.statsLocked(id, now)
+	r.unreachableAt = now
 	r.eject(now)
 	b.unreachedLocked(ep.Domain, id, now)
 }
 
-// LostSince reports whether an endpoint was found unreachable after then, and
-// nothing came from it since.
+// LostSince reports whether an endpoint was found unreachable after the given time, and has sent
+// nothing since.
 func (b *Board) LostSince(id fleet.EndpointID, then time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.byID[id]
-	return r != nil && r.deadAt.After(then) && r.heard.Before(r.deadAt)
+	return r != nil && r.unreachableAt.After(then) && r.lastActivity.Before(r.unreachableAt)
 }
--- a/place/choose.go
+++ b/place/choose.go
@@ -9,51 +9,51 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// Weights of the score, in time: what they buy is how much longer a request
-// may wait at one endpoint than at another that would be taken otherwise.
+// Weights of the score, in time: how much longer a request may wait at one endpoint than at another
+// for the benefit in question.
 const (
 	// domainPenalty keeps requests within their failure domain where that makes little
-	// difference: what crosses is cut off with the domain, and takes room on its links.
+	// difference: a request to another domain is lost if the domain is cut off, and uses
+	// capacity of its links.
 	domainPenalty = 40 * time.Millisecond
-	// failurePenalty is for an endpoint that always fails; one in five failed
-	// answers weigh like 200 ms.
+	// failurePenalty is for an endpoint that always fails; a failure rate of one in five
+	// weighs 200 ms.
 	failurePenalty = time.Second
-	// fullPenalty is for one that has just refused.
+	// fullPenalty is for an endpoint that has just refused a request.
 	fullPenalty = 500 * time.Millisecond
-	// busyPenalty is for an endpoint whose slots are all taken. A few requests more
-	// hardly slow an engine while it has slots to spare, and where most are taken the
-	// next one waits for a whole stream to end: it goes by the third power of their
-	// share. In proportion, the differences among engines with room were worth more
-	// than the prompts that wait there: before 124 engines of 12 slots, where entries
-	// tell what they send, the 90th percentile of the wait was 98 ms rather than 82,
-	// and 191 rather than 143 with a quarter of the engines lost.
+	// busyPenalty is for an endpoint whose slots are all in use. It scales with the third power
+	// of the utilization: a few more requests hardly slow an engine with free slots, but where
+	// most are in use the next one waits for a whole stream to end. With a linear penalty, the
+	// differences among engines with free slots outweighed the prompts waiting there: at 124
+	// engines of 12 slots, with entries that report what they send, the 90th percentile of the
+	// wait was 98 ms instead of 82, and 191 instead of 143 with a quarter of the engines lost.
 	busyPenalty = 400 * time.Millisecond
-	// cachedAtPreferred is the share of a shared prompt expected in the cache
-	// of the endpoint that it prefers. Others are taken to lack it.
-	cachedAtPreferred = 0.7
-	// cachePerToken is what reading a shared token again costs the streams that run
-	// beside it: each of three or four pauses for the 18 us that it takes.
-	cachePerToken = 60 * time.Microsecond
-	// cacheBeyondDomain is how many shared tokens make the preferred endpoint one of
-	// all domains: reading as many again takes an engine 20 to 60 ms, more than a
-	// prompt and its answer take to another domain and back.
-	cacheBeyondDomain = 1000
-	// defaultSlots is assumed where an endpoint does not tell its slots.
+	// expectedHitRate is the fraction of a shared prompt expected in the cache of the preferred
+	// endpoint. Other endpoints are assumed to have none of it.
+	expectedHitRate = 0.7
+	// cacheMissPerToken is what reading a shared token again costs the concurrent streams: each
+	// of three or four pauses for the 18 us that it takes.
+	cacheMissPerToken = 60 * time.Microsecond
+	// crossDomainTokens is the number of shared tokens from which the preferred endpoint is
+	// chosen from all domains: reading them again takes an engine 20 to 60 ms, more than
+	// sending a prompt to another domain and its answer back.
+	crossDomainTokens = 1000
+	// defaultSlots is assumed where an endpoint does not report its slots.
 	defaultSlots = 8
 )
 
-// Want is what the choice needs to know of a request.
+// Want describes a request to the selection.
 type Want struct {
-	Domain string // this entry's
+	Domain string // failure domain of this entry
 	// Affinity is equal for requests that share a prompt; 0: none.
 	Affinity uint64
-	// SharedTokens is how much prompt they share, Reading how long an engine
-	// takes to read that.
+	// SharedTokens is the length of the shared prompt, Reading the time an engine takes to
+	// read it.
 	SharedTokens int
 	Reading      time.Duration
-	// Tried are endpoints that had the request already.
+	// Tried are endpoints that the request was already sent to.
 	Tried map[fleet.EndpointID]bool
-	// Closed reports endpoints that take no request now; nil: all do.
+	// Closed reports endpoints that accept no requests now; nil: all accept them.
 	Closed func(fleet.Endpoint) bool
 }
 
@@ -64,8 +64,8 @@
 	Standing Standing
 }
 
-// closed tells which candidates take no request now; nil: all do. It is asked without the
-// board's lock, as what answers has its own.
+// closed evaluates Closed for all candidates; nil: none is closed. It is called without the board's lock,
+// as the callback takes its own.
 func (w Want) closed(candidates []fleet.Endpoint) []bool {
 	if w.Closed == nil {
 		return nil
@@ -77,11 +77,11 @@
 	return out
 }
 
-// Rank orders endpoints for a request, best first. Ejected ones come last,
-// those tried already and closed ones are left out.
+// Rank orders endpoints for a request, best first. Ejected ones come last; endpoints already tried and
+// closed ones are left out.
 func (b *Board) Rank(candidates []fleet.Endpoint, w Want) []Ranked {
 	now := b.clock.Now()
-	preferred := prefer(candidates, w)
+	preferred := preferredEndpoint(candidates, w)
 	closed := w.closed(candidates)
 	b.mu.Lock()
 	out := make([]Ranked, 0, len(candidates))
@@ -89,13 +89,13 @@
 		if w.Tried[ep.ID] || closed != nil && closed[i] {
 			continue
 		}
-		load := b.supposedLocked(ep, now)
+		load := b.sampledLoadLocked(ep, now)
 		s := b.standingLocked(ep.ID, now)
-		s.Ejected = s.Ejected || b.awayLocked(ep.Domain, now)
+		s.Ejected = s.Ejected || b.domainUnreachableLocked(ep.Domain, now)
 		out = append(out, Ranked{Endpoint: ep, Standing: s, Score: score(ep, s, load, w, ep.ID == preferred)})
 	}
-	// Those of equal score come in random order: in one that all entries share, all
-	// would take the first.
+	// Ties are broken at random: in an order that all entries share, all would choose the
+	// same endpoint.
 	b.random.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	b.mu.Unlock()
 	sort.SliceStable(out, func(i, j int) bool {
@@ -107,8 +107,8 @@
 	return out
 }
 
-// score is the time that the request would wait at an endpoint with so many requests,
-// with what else speaks against that.
+// score returns the expected wait at an endpoint with the given load, plus penalties and less the
+// value of a cached prompt.
 func score(ep fleet.Endpoint, s Standing, load float64, w Want, preferred bool) time.Duration {
 	taken := load / float64(slotsOf(ep))
 	v := s.Wait + scaled(busyPenalty, taken*taken*taken) + scaled(failurePenalty, s.FailRate)
@@ -119,7 +119,7 @@
 		v += fullPenalty
 	}
 	if preferred {
-		v -= scaled(w.Reading+time.Duration(w.SharedTokens)*cachePerToken, cachedAtPreferred)
+		v -= scaled(w.Reading+time.Duration(w.SharedTokens)*cacheMissPerToken, expectedHitRate)
 	}
 	return v
 }
@@ -133,14 +133,13 @@
 
 func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// prefer returns the endpoint that a prompt prefers: the highest of the
-// hashes of prompt and endpoint, so that all entries agree and a change of
-// the endpoints moves only the prompts of those that changed.
-func prefer(candidates []fleet.Endpoint, w Want) fleet.EndpointID {
+// preferredEndpoint returns the preferred endpoint of a prompt by rendezvous hashing: all entries agree,
+// and when endpoints change, only the prompts of those endpoints move.
+func preferredEndpoint(candidates []fleet.Endpoint, w Want) fleet.EndpointID {
 	if w.Affinity == 0 {
 		return ""
 	}
-	near := w.SharedTokens < cacheBeyondDomain && anyIn(candidates, w.Domain)
+	near := w.SharedTokens < crossDomainTokens && anyInDomain(candidates, w.Domain)
 	var best fleet.EndpointID
 	var highest uint64
 	for _, ep := range candidates {
@@ -154,7 +153,7 @@
 	return best
 }
 
-func anyIn(candidates []fleet.Endpoint, domain string) bool {
+func anyInDomain(candidates []fleet.Endpoint, domain string) bool {
 	for _, ep := range candidates {
 		if ep.Domain == domain {
 			return true
@@ -163,7 +162,7 @@
 	return false
 }
 
-// mix spreads a hash over all its bits.
+// mix is a finalizer that spreads the entropy of a hash over all bits.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -171,7 +170,7 @@
 	return h
 }
 
-// Hash returns the affinity of a list of strings, never 0.
+// Hash returns the affinity of a list of strings; it is never 0.
 func Hash(parts ...string) uint64 {
 	d := xxhash.New()
 	for _, p := range parts {
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-func TestLeastWaitGoesFirst(t *testing.T) {
+func TestRankPrefersLeastWait(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
 	eps := endpoints(3, "d1")
@@ -32,10 +32,9 @@
 	is.Equal(got[2].ID, fleet.EndpointID("e00"))
 }
 
-// Symptom: an entry sends a short request behind another's long prompt.
-// What others tell counts, less the time that has passed since, and not for
-// long.
-func TestWorkToldByOthersCountsAndIsWorkedOff(t *testing.T) {
+// Guards against sending a short request behind the long prompt of another entry. Work reported by
+// other entries counts, less the time passed since the report, until it expires.
+func TestPeerWorkCountsAndDecays(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
@@ -46,12 +45,12 @@
 	b.Hear("i2", map[uint32]time.Duration{})
 	is.Equal(b.Standing("e00").Wait, time.Duration(0))
 	b.Hear("i2", map[uint32]time.Duration{ShortID("e00"): time.Minute})
-	clock.Advance(toldLife + time.Millisecond)
+	clock.Advance(peerWorkTTL + time.Millisecond)
 	is.Equal(b.Standing("e00").Wait, time.Duration(0))
 }
 
-// A request's work counts until its first event, and is taken off once.
-func TestWorkEndsWithTheFirstEvent(t *testing.T) {
+// The work of a request counts until its first event, and is removed only once.
+func TestPendingWorkEndsAtFirstEvent(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
 	tk := b.Begin(fleet.Endpoint{ID: "e00"}, time.Second)
@@ -59,37 +58,37 @@
 	tk.First()
 	is.Equal(len(b.Outstanding()), 0)
 	tk.End(Served)
-	tk.End(Broken) // a second end changes nothing
+	tk.End(Broken) // a second call has no effect
 	s := b.Standing("e00")
 	is.Equal(s.InFlight, 0)
 	is.Equal(s.Wait, time.Duration(0))
 	is.Equal(s.FailRate, 0.0)
 }
 
-// Symptom: requests go on to an endpoint that is dead until it is deregistered.
-func TestAnEndpointThatBreaksIsLeftAndTriedAgain(t *testing.T) {
+// Guards against sending requests to a dead endpoint until it is deregistered.
+func TestBrokenEndpointIsEjectedAndRetried(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
-	for range hardFailures {
+	for range ejectThreshold {
 		b.Begin(fleet.Endpoint{ID: "e00"}, 0).End(Broken)
 	}
 	is.True(b.Standing("e00").Ejected)
 	got := b.Rank(endpoints(2, "d1"), Want{Domain: "d1"})
 	is.Equal(got[0].ID, fleet.EndpointID("e01"))
-	clock.Advance(ejectFirst)
+	clock.Advance(minEjection)
 	is.True(!b.Standing("e00").Ejected)
 	b.Begin(fleet.Endpoint{ID: "e00"}, 0).End(Broken)
-	clock.Advance(ejectFirst)
-	is.True(b.Standing("e00").Ejected) // twice as long the second time
-	clock.Advance(ejectFirst)
+	clock.Advance(minEjection)
+	is.True(b.Standing("e00").Ejected) // the second ejection is twice as long
+	clock.Advance(minEjection)
 	b.Begin(fleet.Endpoint{ID: "e00"}, 0).End(Served)
 	is.True(!b.Standing("e00").Ejected)
 }
 
-// Symptom: an endpoint whose health is good fails half of its requests, and
-// keeps its share of them.
-func TestAnEndpointThatFailsOftenIsAvoided(t *testing.T) {
+// Guards against an endpoint that reports itself healthy but fails half of its requests keeping its
+// share of them.
+func TestFailingEndpointIsAvoided(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
@@ -104,11 +103,11 @@
 		is.Equal(b.Rank(endpoints(2, "d1"), Want{Domain: "d1"})[0].ID, fleet.EndpointID("e01"))
 	}
 	rate := b.Standing("e00").FailRate
-	clock.Advance(3 * failureLife)
-	is.True(b.Standing("e00").FailRate < rate/10) // it gets another chance
+	clock.Advance(3 * failureDecay)
+	is.True(b.Standing("e00").FailRate < rate/10) // the endpoint is tried again
 }
 
-func TestWhatACallerDoesSaysNothingOfTheEndpoint(t *testing.T) {
+func TestAbandonedRequestsDoNotCountAsFailures(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
 	for range 5 {
@@ -119,30 +118,30 @@
 	is.Equal(s.FailRate, 0.0)
 }
 
-func TestTheReportedLoadCountsWhileItIsFresh(t *testing.T) {
+func TestReportedLoadExpires(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
 	tk := b.Begin(fleet.Endpoint{ID: "e00"}, 0)
 	tk.Head(&call.Load{Running: 40, Waiting: 8, Slots: 64})
 	b.Begin(fleet.Endpoint{ID: "e00"}, 0)
-	is.Equal(b.Standing("e00").Load, 49.0) // and one begun since
-	clock.Advance(reportLife)
+	is.Equal(b.Standing("e00").Load, 49.0) // including one begun since the report
+	clock.Advance(reportTTL)
 	is.Equal(b.Standing("e00").Load, 2.0)
 }
 
-// All entries prefer the same endpoint for a prompt, so that it is read once;
-// when endpoints come or go, the others' prompts stay where they are.
-func TestPreferenceIsSharedAndStable(t *testing.T) {
+// All entries prefer the same endpoint for a prompt, so that it is read once. When endpoints are added
+// or removed, the prompts of the others do not move.
+func TestPreferredEndpointIsSharedAndStable(t *testing.T) {
 	is := is.New(t)
 	eps := endpoints(12, "d1", "d2", "d3")
 	moved := 0
 	for i := range 200 {
 		w := Want{Domain: "d1", Affinity: Hash(fmt.Sprint(i)), SharedTokens: 5000}
-		p := prefer(eps, w)
+		p := preferredEndpoint(eps, w)
 		w.Domain = "d2"
-		is.Equal(prefer(eps, w), p) // a long prompt's does not depend on the entry's domain
-		if prefer(eps[1:], w) != p {
+		is.Equal(preferredEndpoint(eps, w), p) // for a long prompt it does not depend on the entry's domain
+		if preferredEndpoint(eps[1:], w) != p {
 			moved++
 			is.Equal(p, eps[0].ID)
 		}
@@ -150,7 +149,7 @@
 	is.True(moved > 5)
 	is.True(moved < 40)
 	short := Want{Domain: "d2", Affinity: Hash("x"), SharedTokens: 100}
-	is.Equal(domainOf(eps, prefer(eps, short)), "d2") // a short one stays in its domain
+	is.Equal(domainOf(eps, preferredEndpoint(eps, short)), "d2") // a short prompt stays in its domain
 }
 
 func domainOf(eps []fleet.Endpoint, id fleet.EndpointID) string {
@@ -162,10 +161,10 @@
 	return ""
 }
 
-// herd plays eight entries that place requests of very unequal length on
-// twelve engines, and returns the longest and the mean wait at the moment of
-// placing. With tell, entries tell each other their work every 100 ms.
-func herd(tell bool) (longest, mean time.Duration) {
+// simulateSharedEngines simulates eight entries that place requests of very unequal length on twelve
+// engines, and returns the longest and the mean wait at the time of placement. With exchange set,
+// entries exchange their outstanding work about every 100 ms.
+func simulateSharedEngines(exchange bool) (longest, mean time.Duration) {
 	const entries, requests = 8, 4000
 	clock := clockwork.NewFakeClock()
 	eps := endpoints(12, "d1")
@@ -177,7 +176,7 @@
 		tk   *Ticket
 		done time.Duration
 	}
-	free := map[fleet.EndpointID]time.Duration{} // when an engine has nothing left
+	free := map[fleet.EndpointID]time.Duration{} // when the engine becomes idle
 	var open []job
 	now, total := time.Duration(0), time.Duration(0)
 	seed := uint64(1)
@@ -196,7 +195,7 @@
 			kept = append(kept, j)
 		}
 		open = kept
-		if tell && r%18 == 0 {
+		if exchange && r%18 == 0 {
 			for i, from := range boards {
 				work := map[uint32]time.Duration{}
 				for id, w := range from.Outstanding() {
@@ -224,21 +223,20 @@
 	return longest, total / requests
 }
 
-// Entries that see the same engines do not herd, and telling each other of
-// their work is worth its datagrams: over 4,000 requests at some 75% load the
-// mean wait is 180 ms without and 101 ms with them (go test -v prints both).
-func TestEntriesDoNotHerd(t *testing.T) {
+// Entries that share engines do not all choose the same one, and exchanging outstanding work is worth
+// its datagrams: over 4,000 requests at about 75% load the mean wait is 180 ms without the exchange and
+// 101 ms with it (go test -v prints both).
+func TestExchangedWorkReducesWait(t *testing.T) {
 	is := is.New(t)
-	aloneLongest, aloneMean := herd(false)
-	toldLongest, toldMean := herd(true)
-	t.Logf("alone: mean %v, longest %v; told: mean %v, longest %v", aloneMean, aloneLongest, toldMean, toldLongest)
-	is.True(toldMean < aloneMean*7/10)
+	aloneLongest, aloneMean := simulateSharedEngines(false)
+	exchangedLongest, exchangedMean := simulateSharedEngines(true)
+	t.Logf("without exchange: mean %v, longest %v; with exchange: mean %v, longest %v", aloneMean, aloneLongest, exchangedMean, exchangedLongest)
+	is.True(exchangedMean < aloneMean*7/10)
 }
 
-// Symptom: long prompts are thought several times as slow as they are.
-// Events: most prompts are short, and what they wait for is fixed; a third of
-// the answers waited for others.
-func TestRatesTellTokensFromWhatIsFixed(t *testing.T) {
+// Guards against estimating long prompts as several times slower than they are. Most prompts are short
+// and dominated by fixed delays; a third of the answers waited for other requests.
+func TestRatesSeparateFixedAndPerTokenTime(t *testing.T) {
 	is := is.New(t)
 	r := NewRates()
 	seed := uint64(7)
@@ -261,21 +259,20 @@
 	is.True(r.First("m", 40000) < 1300*time.Millisecond)
 	is.True(r.Reading("m", 40000) < r.First("m", 40000))
 	before := r.First("m", 500)
-	r.Learn("m", 0, time.Hour) // nothing was read
+	r.Learn("m", 0, time.Hour) // no tokens, so nothing to learn
 	is.Equal(r.First("m", 500), before)
 }
 
-// Symptom: an endpoint that was started again is left alone for what it did
-// before, and callers wait for answers that its earlier process took with it.
-// Events: it fails and is ejected; it crashes behind a partition and starts
-// again under its name; the old connection never ends.
-func TestAnEndpointThatStartsAgainIsAnotherOne(t *testing.T) {
+// Guards against a restarted endpoint being avoided for the failures of its previous incarnation, and
+// against callers waiting for answers lost with that process. The endpoint fails and is ejected, crashes
+// behind a network partition and restarts under its name; the old connection is never closed.
+func TestRestartedEndpointIsIndependent(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
 	before := fleet.Endpoint{ID: fleet.IncarnationID("e", 1000), Name: "e", Born: 1000, Slots: 64}
 	after := fleet.Endpoint{ID: fleet.IncarnationID("e", 2000), Name: "e", Born: 2000, Slots: 64}
-	for range hardFailures {
+	for range ejectThreshold {
 		b.Begin(before, 0).End(Broken)
 	}
 	waiting := b.Begin(before, time.Second)
@@ -290,22 +287,20 @@
 	is.Equal(b.Standing(after.ID).Wait, time.Duration(0))
 	is.Equal(b.Standing(after.ID).FailRate, 0.0)
 
-	waiting.End(Broken) // says nothing of the later one
+	waiting.End(Broken) // does not affect the later incarnation
 	is.Equal(b.Standing(after.ID).InFlight, 0)
 	is.Equal(b.Standing(after.ID).FailRate, 0.0)
 
-	// An entry whose view is older does not undo it.
+	// A request to the old incarnation, from an outdated view, does not change that.
 	b.Begin(before, 0)
 	is.True(!b.LostSince(after.ID, sent))
 }
 
-// Symptom: doubted answers are taken to the larger model at engines that keep everyone
-// waiting, and come late.
-// Events: engines read long prompts all the time; few requests run at each, and what
-// entries know to be outstanding is soon over.
-// What first events wait for is told by the answers themselves, and is forgotten when
-// they no longer do.
-func TestTheUsualWaitFollowsLateFirstEvents(t *testing.T) {
+// Guards against escalating doubted answers to the larger model at engines that keep every request
+// waiting, so that the answers come late. The engines read long prompts all the time; few requests run
+// at each, and the known outstanding work is soon done. The wait is learned from the delay of first
+// events, and the estimate drops when they are no longer late.
+func TestUsualWaitTracksLateFirstEvents(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
 	is.Equal(b.UsualWait("s"), time.Duration(0))
@@ -315,7 +310,7 @@
 	is.True(b.UsualWait("s") > 380*time.Millisecond)
 	is.Equal(b.UsualWait("another"), time.Duration(0))
 	for range 40 {
-		b.Waited("s", -10*time.Millisecond) // sooner than expected: nothing was waited for
+		b.Waited("s", -10*time.Millisecond) // earlier than expected: no wait
 	}
 	is.True(b.UsualWait("s") < 20*time.Millisecond)
 }
