--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -14,27 +14,27 @@
 	}
 }
 
-// BenchmarkCheck is what each send of a request costs, with as many suspects as a crash of
-// a busy engine leaves.
+// BenchmarkCheck measures Check, called for each send of a request, with as many suspects as
+// a crash of a busy engine leaves.
 func BenchmarkCheck(b *testing.B) {
-	t := crashed(64)
+	t := newTableWithSuspects(64)
 	for b.Loop() {
 		t.Check(1)
 	}
 }
 
-// BenchmarkCrashed is what a crash costs for each request that was there.
+// BenchmarkCrashed measures the cost of a crash per request that was in flight.
 func BenchmarkCrashed(b *testing.B) {
-	t := crashed(mostSuspects - 1)
+	t := newTableWithSuspects(maxSuspects - 1)
 	n := 0
 	for b.Loop() {
 		n++
-		t.Crashed(Fingerprint(n%mostSuspects), endpoint(n), Waiting)
+		t.Crashed(Fingerprint(n%maxSuspects), endpoint(n), Waiting)
 	}
 }
 
-func crashed(suspects int) *Table {
-	t := New(Deps{Clock: clockwork.NewFakeClock(), Log: quiet})
+func newTableWithSuspects(suspects int) *Table {
+	t := New(Deps{Clock: clockwork.NewFakeClock(), Log: discardLog})
 	for n := range suspects {
 		t.Crashed(Fingerprint(n), endpoint(n), Waiting)
 	}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,7 +1,8 @@
 // Package quarantine keeps requests that crash the endpoints that run them away from
 // all endpoints.
 //
-// A crash is noted against every request that was at the endpoint, and entries tell each
-// other. A request that was at enough crashes which no other explains is guilty: no entry
-// sends it until its record in the store lapses. One that was answered never is.
+// A crash counts against every request that was in flight at the endpoint, and entries
+// share what they observe. A request that was at enough crashes not explained by another
+// request is quarantined: no entry sends it until its record in the store expires. A
+// request that was answered is never quarantined.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is equal for requests that ask the same for the same customer, whichever
-// attempt of the caller they are and whichever entry takes them.
+// Fingerprint is equal for identical requests of one customer, across the caller's retries
+// and across entries.
 type Fingerprint uint64
 
-// Of returns the fingerprint of a request. A collision refuses a request that another
-// one of the same service crashes endpoints.
+// Of returns the fingerprint of a request. On a collision with a request that crashes
+// endpoints, a harmless request is refused.
 func Of(customer, method, host, target string, body []byte) Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{customer, method, host, target} {
@@ -22,5 +22,5 @@
 	return Fingerprint(d.Sum64())
 }
 
-// String returns the fingerprint as in logs and keys of the store.
+// String returns the fingerprint as written in logs and store keys.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// Hold is one send of a request to an endpoint that may still be stopped.
+// Hold is a send of a request to an endpoint that can still be stopped.
 type Hold struct {
-	table   *Table
-	of      Fingerprint
-	stop    func()
-	stopped atomic.Bool
+	table       *Table
+	fingerprint Fingerprint
+	stop        func()
+	stopped     atomic.Bool
 }
 
-// Hold calls stop if a request turns out to crash endpoints before Release is called: one
-// that waits at an endpoint has not crashed it yet. stop must not block.
+// Hold calls stop if a request is quarantined before Release is called: a request that is
+// still waiting at an endpoint has not crashed it yet. stop must not block.
 func (t *Table) Hold(f Fingerprint, stop func()) *Hold {
-	h := &Hold{table: t, of: f, stop: stop}
+	h := &Hold{table: t, fingerprint: f, stop: stop}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.holds[f] == nil {
@@ -23,14 +23,14 @@
 	return h
 }
 
-// Release ends it; it may be called more than once.
+// Release ends the hold; it may be called more than once.
 func (h *Hold) Release() {
 	t := h.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.holds[h.of], h)
-	if len(t.holds[h.of]) == 0 {
-		delete(t.holds, h.of)
+	delete(t.holds[h.fingerprint], h)
+	if len(t.holds[h.fingerprint]) == 0 {
+		delete(t.holds, h.fingerprint)
 	}
 }
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -11,63 +11,64 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Deps is what a table is made of.
+// Deps are the dependencies of a Table.
 type Deps struct {
-	// Store is where guilty requests are recorded; nil: they are not.
+	// Store records quarantined requests; nil: they are not recorded.
 	Store kv.Client
-	// View is what the store is known to hold; nil: nothing.
+	// View returns the known contents of the store; nil: none.
 	View  func() *fleet.View
 	Clock clockwork.Clock
 	Log   *slog.Logger
 }
 
-// Table is what an entry knows of requests under which endpoints crashed. It is safe for
-// concurrent use; its lock is never held across a call.
+// Table holds what an entry knows about requests at which endpoints crashed. It is safe for
+// concurrent use; its lock is never held across a call to the store.
 type Table struct {
 	Deps
 
-	mu       sync.Mutex
-	suspects suspects
-	served   served
-	guilty   map[Fingerprint]time.Time // since when
-	// records is the record of guilty requests that they were judged by.
+	mu          sync.Mutex
+	suspects    suspects
+	served      served
+	quarantined map[Fingerprint]time.Time // when each was quarantined
+	// records are the store's records that quarantined was last computed from.
 	records *fleet.Quarantine
-	// news has room for one sign that others should hear at once of what is known.
-	news chan struct{}
-	// holds are the sends that may still be stopped.
+	// updates signals that other entries should be told immediately; its capacity is 1.
+	updates chan struct{}
+	// holds are the sends that can still be stopped.
 	holds map[Fingerprint]map[*Hold]struct{}
-	// wrote is when this entry last tried to record a request.
-	wrote map[Fingerprint]time.Time
+	// lastWrite is when this entry last tried to write the record of a request.
+	lastWrite map[Fingerprint]time.Time
 }
 
-// New returns a table that suspects nothing.
+// New returns an empty table.
 func New(d Deps) *Table {
-	return &Table{Deps: d, suspects: suspects{}, guilty: map[Fingerprint]time.Time{}, wrote: map[Fingerprint]time.Time{}, holds: map[Fingerprint]map[*Hold]struct{}{}, news: make(chan struct{}, 1)}
+	return &Table{Deps: d, suspects: suspects{}, quarantined: map[Fingerprint]time.Time{}, lastWrite: map[Fingerprint]time.Time{}, holds: map[Fingerprint]map[*Hold]struct{}{}, updates: make(chan struct{}, 1)}
 }
 
-// Verdict is what is known of a request.
+// Verdict is the status of a request.
 type Verdict struct {
-	// Suspect: an endpoint crashed while the request was there.
+	// Suspect: an endpoint crashed while the request was in flight there.
 	Suspect bool
-	// Quarantined: the request crashes endpoints and must reach none, for so long.
+	// Quarantined: the request crashes endpoints and must not be sent to any, for the
+	// time in For.
 	Quarantined bool
 	For         time.Duration
 }
 
-// Check returns what is known of a request.
+// Check returns the status of a request.
 func (t *Table) Check(f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeRecordsLocked()
+	t.syncRecordsLocked()
 	_, suspect := t.suspects[f]
-	since, guilty := t.guilty[f]
-	if !guilty {
+	since, quarantined := t.quarantined[f]
+	if !quarantined {
 		return Verdict{Suspect: suspect}
 	}
-	return Verdict{Suspect: true, Quarantined: true, For: max(time.Second, life-t.Clock.Since(since))}
+	return Verdict{Suspect: true, Quarantined: true, For: max(time.Second, retention-t.Clock.Since(since))}
 }
 
-// Crashed notes that an endpoint crashed while a request was there.
+// Crashed records that an endpoint crashed while a request was in flight there.
 func (t *Table) Crashed(f Fingerprint, ep fleet.EndpointID, stage Stage) {
 	now := t.Clock.Now()
 	t.mu.Lock()
@@ -75,24 +76,24 @@
 	if t.served.has(f) {
 		return
 	}
-	if t.noteLocked(f, ep, crash{stage: stage, at: now, own: true}) {
-		t.judgeLocked()
+	if t.addCrashLocked(f, ep, crash{stage: stage, at: now, local: true}) {
+		t.reevaluateLocked()
 	}
 }
 
-// noteLocked notes a crash against a request, and reports whether that may change who is
-// guilty.
-func (t *Table) noteLocked(f Fingerprint, ep fleet.EndpointID, c crash) bool {
-	s := t.suspects.of(f)
-	if !s.note(ep, c) {
+// addCrashLocked adds a crash to a request, and reports whether that may change the set of
+// quarantined requests.
+func (t *Table) addCrashLocked(f Fingerprint, ep fleet.EndpointID, c crash) bool {
+	s := t.suspects.getOrAdd(f)
+	if !s.addCrash(ep, c) {
 		return false
 	}
-	t.newsLocked(s)
-	_, guilty := t.guilty[f]
-	return guilty || s.weight(nil) >= guiltyWeight
+	t.notifyLocked(s)
+	_, quarantined := t.quarantined[f]
+	return quarantined || s.weight(nil) >= quarantineWeight
 }
 
-// Served notes that a request was answered whole: it crashes no endpoint.
+// Served records that a request was answered completely: it does not crash endpoints.
 func (t *Table) Served(f Fingerprint) {
 	now := t.Clock.Now()
 	t.mu.Lock()
@@ -102,35 +103,35 @@
 		return
 	}
 	delete(t.suspects, f)
-	t.judgeLocked()
+	t.reevaluateLocked()
 }
 
-// takeRecordsLocked judges anew when other requests are recorded.
-func (t *Table) takeRecordsLocked() {
+// syncRecordsLocked reevaluates the requests when the store's records have changed.
+func (t *Table) syncRecordsLocked() {
 	if t.View == nil {
 		return
 	}
 	if records := t.View().Quarantine; records != t.records {
 		t.records = records
-		t.judgeLocked()
+		t.reevaluateLocked()
 	}
 }
 
-// judgeLocked finds the guilty requests by all that is known now.
-func (t *Table) judgeLocked() {
+// reevaluateLocked updates the set of quarantined requests from all that is known.
+func (t *Table) reevaluateLocked() {
 	now := t.Clock.Now()
-	found := t.suspects.guilty(t.recordedLocked(), t.served.has)
-	for f := range t.guilty {
-		if !found[f] {
-			delete(t.guilty, f)
+	causes := t.suspects.quarantined(t.recordedLocked(), t.served.has)
+	for f := range t.quarantined {
+		if !causes[f] {
+			delete(t.quarantined, f)
 			t.Log.Info("quarantine: request is let through again.", "fingerprint", f.String())
 		}
 	}
-	for f := range found {
-		if _, known := t.guilty[f]; known {
+	for f := range causes {
+		if _, known := t.quarantined[f]; known {
 			continue
 		}
-		t.guilty[f] = now
+		t.quarantined[f] = now
 		t.stopLocked(f)
 		attrs := []any{"fingerprint", f.String(), "recorded", t.records.Has(uint64(f))}
 		if s := t.suspects[f]; s != nil {
@@ -142,8 +143,8 @@
 
 func (t *Table) recordedLocked() map[Fingerprint][]fleet.EndpointID {
 	out := map[Fingerprint][]fleet.EndpointID{}
-	for f, crashed := range t.records.All() {
-		out[Fingerprint(f)] = crashed
+	for f, endpoints := range t.records.All() {
+		out[Fingerprint(f)] = endpoints
 	}
 	return out
 }
@@ -159,9 +160,9 @@
 func (t *Table) State() State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeRecordsLocked()
+	t.syncRecordsLocked()
 	s := State{Suspects: len(t.suspects), Recorded: t.records.Len()}
-	for f := range t.guilty {
+	for f := range t.quarantined {
 		s.Quarantined = append(s.Quarantined, f.String())
 	}
 	return s
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	guilty   Fingerprint = 1
-	innocent Fingerprint = 2
+	crashing  Fingerprint = 1
+	bystander Fingerprint = 2
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// entry is a table that knows a store.
+// entry is a table with a store.
 type entry struct {
 	*Table
 	fleet *fleet.Follower
@@ -34,17 +34,17 @@
 
 func newEntry(t *testing.T, clock *clockwork.FakeClock, store *memkv.Store) *entry {
 	t.Helper()
-	f := fleet.NewFollower(fleet.Entry{Instance: "i"}, store, platform.Values{}, time.Second, clock, quiet)
-	return &entry{Table: New(Deps{Store: store, View: f.View, Clock: clock, Log: quiet}), fleet: f, clock: clock, store: store, t: t}
+	f := fleet.NewFollower(fleet.Entry{Instance: "i"}, store, platform.Values{}, time.Second, clock, discardLog)
+	return &entry{Table: New(Deps{Store: store, View: f.View, Clock: clock, Log: discardLog}), fleet: f, clock: clock, store: store, t: t}
 }
 
-func alone(t *testing.T) *entry {
+func newIsolatedEntry(t *testing.T) *entry {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	return newEntry(t, clock, memkv.New(clock))
 }
 
-// sync makes the entry know what the store holds.
+// sync gives the entry the contents of the store.
 func (e *entry) sync() {
 	e.t.Helper()
 	rev, items, err := e.store.Get(context.Background(), "", true)
@@ -62,57 +62,57 @@
 
 func endpoint(n int) fleet.EndpointID { return fleet.EndpointID(fmt.Sprintf("e%d", n)) }
 
-// Guards against requests that an endpoint's crash cut off being refused like the one that caused it.
-func TestABystanderOfCrashesIsServed(t *testing.T) {
+// Guards against refusing requests that were merely in flight at an endpoint when another crashed it.
+func TestBystanderIsNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
+	e := newIsolatedEntry(t)
 	for n := range 3 {
-		e.Crashed(innocent, endpoint(n), Waiting)
-		e.Crashed(guilty, endpoint(n), Started)
+		e.Crashed(bystander, endpoint(n), Waiting)
+		e.Crashed(crashing, endpoint(n), Started)
 	}
-	is.True(e.quarantined(guilty))
-	is.True(!e.quarantined(innocent))
-	is.True(e.Check(innocent).Suspect)
+	is.True(e.quarantined(crashing))
+	is.True(!e.quarantined(bystander))
+	is.True(e.Check(bystander).Suspect)
 }
 
-// Guards against a bystander refused for good because it was found before the cause was.
-func TestABystanderIsExcusedOnceTheCauseIsFound(t *testing.T) {
+// Guards against refusing a bystander permanently because it reached the threshold before the cause.
+func TestBystanderIsReleasedWhenCauseIsFound(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
+	e := newIsolatedEntry(t)
 	for n := range 3 {
-		e.Crashed(innocent, endpoint(n), Waiting)
+		e.Crashed(bystander, endpoint(n), Waiting)
 	}
-	is.True(e.quarantined(innocent))
-	e.Hear([]Row{{Fingerprint: guilty, Crashes: []Crash{{endpoint(0), Started, 0}, {endpoint(1), Started, 0}, {endpoint(2), Started, 0}}}})
-	is.True(e.quarantined(guilty))
-	is.True(!e.quarantined(innocent))
+	is.True(e.quarantined(bystander))
+	e.Hear([]SuspectReport{{Fingerprint: crashing, Crashes: []CrashReport{{endpoint(0), Started, 0}, {endpoint(1), Started, 0}, {endpoint(2), Started, 0}}}})
+	is.True(e.quarantined(crashing))
+	is.True(!e.quarantined(bystander))
 }
 
-// Guards against a request that many callers make being refused because many engines crashed at once.
-func TestARequestThatWasServedIsNeverQuarantined(t *testing.T) {
+// Guards against refusing a request that many callers make because many engines crashed at once.
+func TestServedRequestIsNeverQuarantined(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
-	e.Served(innocent)
+	e := newIsolatedEntry(t)
+	e.Served(bystander)
 	for n := range 8 {
-		e.Crashed(innocent, endpoint(n), Started)
+		e.Crashed(bystander, endpoint(n), Started)
 	}
-	is.True(!e.quarantined(innocent))
+	is.True(!e.quarantined(bystander))
 	for n := range 3 {
-		e.Crashed(guilty, endpoint(n), Waiting)
+		e.Crashed(crashing, endpoint(n), Waiting)
 	}
-	is.True(e.quarantined(guilty))
-	e.Served(guilty)
-	is.True(!e.quarantined(guilty))
+	is.True(e.quarantined(crashing))
+	e.Served(crashing)
+	is.True(!e.quarantined(crashing))
 }
 
-// Guards against a request that crashes one endpoint at each of several entries and is known to none.
-func TestCrashesAtSeveralEntriesAddUp(t *testing.T) {
+// Guards against missing a request that crashes one endpoint at each of several entries.
+func TestCrashesAccumulateAcrossEntries(t *testing.T) {
 	is := is.New(t)
 	var all []*entry
 	for n := range 3 {
-		all = append(all, alone(t))
-		all[n].Crashed(guilty, endpoint(n), Waiting)
-		is.True(!all[n].quarantined(guilty))
+		all = append(all, newIsolatedEntry(t))
+		all[n].Crashed(crashing, endpoint(n), Waiting)
+		is.True(!all[n].quarantined(crashing))
 	}
 	for _, a := range all {
 		for _, b := range all {
@@ -120,101 +120,101 @@
 		}
 	}
 	for _, e := range all {
-		is.True(e.quarantined(guilty))
+		is.True(e.quarantined(crashing))
 	}
 }
 
-// Guards against crashes counted anew because several copies, or entries, saw the same one.
-func TestACrashCountsOnce(t *testing.T) {
+// Guards against counting a crash several times because several copies or entries observed it.
+func TestCrashIsCountedOnce(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
+	e := newIsolatedEntry(t)
 	for range 5 {
-		e.Crashed(innocent, endpoint(0), Waiting)
-		e.Crashed(innocent, endpoint(1), Running)
+		e.Crashed(bystander, endpoint(0), Waiting)
+		e.Crashed(bystander, endpoint(1), Running)
 		e.Hear(e.Tell())
 	}
-	is.True(!e.quarantined(innocent))
+	is.True(!e.quarantined(bystander))
 }
 
-// Guards against requests that crash endpoints let through by entries that start after all were killed.
-func TestAnEntryThatStartsLaterKnowsTheQuarantine(t *testing.T) {
+// Guards against quarantined requests being sent by entries that start after all entries were killed.
+func TestNewEntryLoadsQuarantineFromStore(t *testing.T) {
 	is := is.New(t)
-	a := alone(t)
-	a.Crashed(guilty, endpoint(0), Started)
-	a.Crashed(guilty, endpoint(1), Started)
-	is.True(a.quarantined(guilty))
+	a := newIsolatedEntry(t)
+	a.Crashed(crashing, endpoint(0), Started)
+	a.Crashed(crashing, endpoint(1), Started)
+	is.True(a.quarantined(crashing))
 	a.Tick(context.Background())
-	a.clock.Advance(settles)
+	a.clock.Advance(settleTime)
 	a.Tick(context.Background())
 	b := newEntry(t, a.clock, a.store)
-	is.True(!b.quarantined(guilty))
+	is.True(!b.quarantined(crashing))
 	b.sync()
-	is.True(b.quarantined(guilty))
-	b.Crashed(innocent, endpoint(0), Waiting)
-	b.Crashed(innocent, endpoint(1), Waiting)
-	b.Crashed(innocent, endpoint(2), Waiting)
-	is.True(!b.quarantined(innocent)) // the record explains two of its crashes
+	is.True(b.quarantined(crashing))
+	b.Crashed(bystander, endpoint(0), Waiting)
+	b.Crashed(bystander, endpoint(1), Waiting)
+	b.Crashed(bystander, endpoint(2), Waiting)
+	is.True(!b.quarantined(bystander)) // the record explains two of its crashes
 }
 
-// Guards against a request refused long after the endpoints' fault was mended.
-func TestTheQuarantineLapses(t *testing.T) {
+// Guards against refusing a request long after the endpoints' fault was fixed.
+func TestQuarantineExpires(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
-	e.Crashed(guilty, endpoint(0), Started)
-	e.Crashed(guilty, endpoint(1), Started)
-	is.True(e.Check(guilty).For == life)
-	e.clock.Advance(settles)
+	e := newIsolatedEntry(t)
+	e.Crashed(crashing, endpoint(0), Started)
+	e.Crashed(crashing, endpoint(1), Started)
+	is.True(e.Check(crashing).For == retention)
+	e.clock.Advance(settleTime)
 	e.Tick(context.Background())
 	e.sync()
-	e.clock.Advance(life + time.Second)
+	e.clock.Advance(retention + time.Second)
 	e.sync()
 	e.Tick(context.Background())
-	is.True(!e.quarantined(guilty))
-	is.Equal(e.Check(guilty), Verdict{})
+	is.True(!e.quarantined(crashing))
+	is.Equal(e.Check(crashing), Verdict{})
 }
 
-// Guards against a record lost because the store did not confirm it.
-func TestARecordIsWrittenUntilItIsConfirmed(t *testing.T) {
+// Guards against losing a record because the store did not confirm it.
+func TestRecordIsRetriedUntilConfirmed(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
-	store := &refusing{Client: e.store, times: 3}
+	e := newIsolatedEntry(t)
+	store := &flakyStore{Client: e.store, failures: 3}
 	e.Store = store
-	e.Crashed(guilty, endpoint(0), Started)
-	e.Crashed(guilty, endpoint(1), Started)
+	e.Crashed(crashing, endpoint(0), Started)
+	e.Crashed(crashing, endpoint(1), Started)
 	for range 10 {
-		e.clock.Advance(recordAgain)
+		e.clock.Advance(recordRetry)
 		e.Tick(context.Background())
 		e.sync()
 	}
-	is.Equal(store.grants, 4) // and none once it is known
-	is.True(e.fleet.View().Quarantine.Has(uint64(guilty)))
+	is.Equal(store.grants, 4) // none after the record is known
+	is.True(e.fleet.View().Quarantine.Has(uint64(crashing)))
 }
 
-// refusing is a store that grants no lease the first times.
-type refusing struct {
+// flakyStore is a store whose first calls of Grant fail.
+type flakyStore struct {
 	kv.Client
-	times, grants int
+	failures, grants int
 }
 
-func (r *refusing) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+func (r *flakyStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	r.grants++
-	if r.grants <= r.times {
+	if r.grants <= r.failures {
 		return 0, kv.ErrUnavailable
 	}
 	return r.Client.Grant(ctx, ttl)
 }
 
-// Guards against memory and exchanges that grow with the requests of a crash.
-func TestWhatIsRememberedAndToldIsBounded(t *testing.T) {
+// Guards against memory and exchanges that grow with the number of requests in flight at a crash.
+func TestSuspectsAndReportsAreBounded(t *testing.T) {
 	is := is.New(t)
-	e := alone(t)
-	for n := range mostSuspects + 100 {
+	e := newIsolatedEntry(t)
+	for n := range maxSuspects + 100 {
 		e.Crashed(Fingerprint(n+10), endpoint(n), Waiting)
 		e.clock.Advance(time.Microsecond)
 	}
-	is.Equal(e.State().Suspects, mostSuspects)
-	is.True(!e.Check(10).Suspect) // the oldest went first
-	is.Equal(len(e.Tell()), mostTold)
-	e.clock.Advance(tellFor + time.Second)
+	is.Equal(e.State().Suspects, maxSuspects)
+	is.True(!e.Check(10).Suspect) // the oldest is evicted first
+	is.Equal(len(e.Tell()), maxReported)
+	e.clock.Advance(reportFor + time.Second)
 	is.Equal(len(e.Tell()), 0)
 }
--- a/quarantine/served.go
+++ b/quarantine/served.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Bounds of one generation of the requests that were answered.
+// Bounds of one generation of served requests.
 const (
-	mostServed = 4096
-	servedFor  = 5 * time.Minute
+	maxServed    = 4096
+	maxServedAge = 5 * time.Minute
 )
 
-// served are the requests that were answered of late, in two generations: when one is
-// full or old it becomes the former, and the former is forgotten.
+// served holds recently answered requests in two generations: when the current one is
+// full or too old it becomes the previous one, which is dropped.
 type served struct {
-	present, former map[Fingerprint]struct{}
-	begun           time.Time // of the present generation
+	current, previous map[Fingerprint]struct{}
+	started           time.Time // of the current generation
 }
 
 func (s *served) add(f Fingerprint, now time.Time) {
-	if s.present == nil || len(s.present) >= mostServed || now.Sub(s.begun) > servedFor {
-		s.former, s.present, s.begun = s.present, map[Fingerprint]struct{}{}, now
+	if s.current == nil || len(s.current) >= maxServed || now.Sub(s.started) > maxServedAge {
+		s.previous, s.current, s.started = s.current, map[Fingerprint]struct{}{}, now
 	}
-	s.present[f] = struct{}{}
+	s.current[f] = struct{}{}
 }
 
 func (s *served) has(f Fingerprint) bool {
-	if _, ok := s.present[f]; ok {
+	if _, ok := s.current[f]; ok {
 		return true
 	}
-	_, ok := s.former[f]
+	_, ok := s.previous[f]
 	return ok
 }
--- a/quarantine/stage.go
+++ b/quarantine/stage.go
@@ -1,25 +1,26 @@
 package quarantine
 
-// Stage is how far a request had come at an endpoint when that crashed.
+// Stage is the progress of a request at an endpoint when that crashed.
 type Stage int
 
 // Stages.
 const (
-	// Waiting: nothing of its answer had come, so that it may not have begun to run.
+	// Waiting: no part of the answer had arrived, so the request may not have started to run.
 	Waiting Stage = iota
-	// Started: the head of its answer had come and nothing else, so that it had just
-	// begun to run.
+	// Started: only the head of the answer had arrived, so the request had just started to
+	// run.
 	Started
-	// Running: a part of its answer had come, so that the endpoint had run it for a while.
+	// Running: part of the answer's body had arrived, so the request had run for a while.
 	Running
 )
 
 func (s Stage) String() string { return [...]string{"waiting", "started", "running"}[s] }
 
-// weights are how much a crash at a stage says against a request. What crashes an
-// endpoint does so as it begins to run; most others wait there or are long under way.
+// weights are the weights of a crash as evidence against a request, by its stage. A request
+// that crashes an endpoint does so as it starts to run; most others there are waiting or
+// have run for long.
 var weights = [...]int{Waiting: 2, Started: 3, Running: 1}
 
-// guiltyWeight makes a request guilty: two crashes as it had just begun, or three
-// wherever it was not under way.
-const guiltyWeight = 6
+// quarantineWeight is the weight at which a request is quarantined: two crashes when it had
+// just started, or three when it was not yet running.
+const quarantineWeight = 6
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -8,39 +8,39 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// Bounds of what is remembered.
+// Bounds of the suspects kept in memory.
 const (
-	// life is how long a crash is held against a request, and how long a guilty one is
-	// refused.
-	life = 10 * time.Minute
-	// mostSuspects bounds the requests remembered; those whose crashes are the oldest go
+	// retention is how long a crash counts against a request, and how long a quarantined request
+	// is refused.
+	retention = 10 * time.Minute
+	// maxSuspects bounds the suspects; those whose latest crash is the oldest are evicted
 	// first.
-	mostSuspects = 4096
-	// mostCrashes bounds the crashes remembered of one request.
-	mostCrashes = 16
+	maxSuspects = 4096
+	// maxCrashes bounds the crashes kept per request.
+	maxCrashes = 16
 )
 
-// crash is one endpoint's, as far as one request was there.
+// crash is the crash of an endpoint while a request was in flight there.
 type crash struct {
 	stage Stage
 	at    time.Time
-	own   bool // this entry saw it
+	local bool // observed by this entry
 }
 
-// suspect is a request that was at an endpoint, or several, when it crashed.
+// suspect is a request that was in flight at one or more endpoints when they crashed.
 type suspect struct {
 	crashes map[fleet.EndpointID]crash
-	latest  time.Time // of its crashes
+	latest  time.Time // time of the latest crash
 }
 
-// note adds a crash and reports whether it says more than was known. Copies of a request
-// at one endpoint count once, as the one that had just begun if one had.
-func (s *suspect) note(ep fleet.EndpointID, c crash) bool {
+// addCrash adds a crash and reports whether it increases the suspect's weight. Copies of a
+// request at one endpoint count once, by the stage with the highest weight.
+func (s *suspect) addCrash(ep fleet.EndpointID, c crash) bool {
 	known, ok := s.crashes[ep]
-	if ok && weights[known.stage] >= weights[c.stage] || !ok && len(s.crashes) >= mostCrashes {
+	if ok && weights[known.stage] >= weights[c.stage] || !ok && len(s.crashes) >= maxCrashes {
 		return false
 	}
-	c.own = c.own || known.own
+	c.local = c.local || known.local
 	s.crashes[ep] = c
 	if c.at.After(s.latest) {
 		s.latest = c.at
@@ -48,7 +48,7 @@
 	return true
 }
 
-// weight sums what its crashes say against it, but for those that others explain.
+// weight returns the sum of the weights of the suspect's crashes, except explained ones.
 func (s *suspect) weight(explained map[fleet.EndpointID]bool) int {
 	sum := 0
 	for ep, c := range s.crashes {
@@ -59,17 +59,17 @@
 	return sum
 }
 
-// seenHere reports whether this entry saw one of the crashes.
-func (s *suspect) seenHere() bool {
+// observedLocally reports whether this entry observed one of the crashes.
+func (s *suspect) observedLocally() bool {
 	for _, c := range s.crashes {
-		if c.own {
+		if c.local {
 			return true
 		}
 	}
 	return false
 }
 
-// endpoints are those that crashed, sorted.
+// endpoints returns the endpoints that crashed, sorted.
 func (s *suspect) endpoints() []fleet.EndpointID {
 	out := make([]fleet.EndpointID, 0, len(s.crashes))
 	for ep := range s.crashes {
@@ -79,22 +79,22 @@
 	return out
 }
 
-// suspects are by fingerprint.
+// suspects maps fingerprints to suspects.
 type suspects map[Fingerprint]*suspect
 
-// of returns a suspect, which is new if it was none.
-func (all suspects) of(f Fingerprint) *suspect {
+// getOrAdd returns the suspect with a fingerprint, adding it if there is none.
+func (all suspects) getOrAdd(f Fingerprint) *suspect {
 	s := all[f]
 	if s == nil {
-		all.makeRoom()
+		all.evictIfFull()
 		s = &suspect{crashes: map[fleet.EndpointID]crash{}}
 		all[f] = s
 	}
 	return s
 }
 
-func (all suspects) makeRoom() {
-	if len(all) < mostSuspects {
+func (all suspects) evictIfFull() {
+	if len(all) < maxSuspects {
 		return
 	}
 	var oldest Fingerprint
@@ -107,86 +107,88 @@
 	delete(all, oldest)
 }
 
-// lapse forgets those that were at no crash since then, and reports whether there were any.
-func (all suspects) lapse(then time.Time) bool {
+// expire removes suspects without a crash since cutoff, and reports whether there were any.
+func (all suspects) expire(cutoff time.Time) bool {
 	before := len(all)
 	for f, s := range all {
-		if s.latest.Before(then) {
+		if s.latest.Before(cutoff) {
 			delete(all, f)
 		}
 	}
 	return len(all) < before
 }
 
-// guilty finds the requests that crashed the endpoints: those with the most weight against
-// them first, as each is at all the crashes that it causes and others are there by chance;
-// what one explains is not held against the rest. Those that are excused are never guilty.
-func (all suspects) guilty(recorded map[Fingerprint][]fleet.EndpointID, excused func(Fingerprint) bool) map[Fingerprint]bool {
+// quarantined returns the requests to quarantine, the presumed causes of the crashes. The one with
+// the highest weight comes first, as a cause is at all the crashes that it causes while others are
+// there by chance; crashes that it explains do not count against the rest. Exempt requests are
+// never returned.
+func (all suspects) quarantined(recorded map[Fingerprint][]fleet.EndpointID, exempt func(Fingerprint) bool) map[Fingerprint]bool {
 	out := map[Fingerprint]bool{}
 	explained := map[fleet.EndpointID]bool{}
-	for f, crashed := range recorded {
-		if excused(f) {
+	for f, endpoints := range recorded {
+		if exempt(f) {
 			continue
 		}
 		out[f] = true
-		for _, ep := range crashed {
+		for _, ep := range endpoints {
 			explained[ep] = true
 		}
 	}
 	for f := range out {
 		if s := all[f]; s != nil {
-			s.explain(explained)
+			s.markExplained(explained)
 		}
 	}
-	candidates := all.candidates(out, excused)
+	candidates := all.candidates(out, exempt)
 	for {
-		worst := heaviest(candidates, explained)
-		if len(worst) == 0 {
+		found := heaviest(candidates, explained)
+		if len(found) == 0 {
 			return out
 		}
-		for _, f := range worst {
+		for _, f := range found {
 			out[f] = true
-			candidates[f].explain(explained)
+			candidates[f].markExplained(explained)
 			delete(candidates, f)
 		}
 	}
 }
 
-// explain adds the endpoints that crashed.
-func (s *suspect) explain(explained map[fleet.EndpointID]bool) {
+// markExplained adds the endpoints that crashed at the suspect to explained.
+func (s *suspect) markExplained(explained map[fleet.EndpointID]bool) {
 	for ep := range s.crashes {
 		explained[ep] = true
 	}
 }
 
-// candidates may be guilty if nothing explains their crashes.
-func (all suspects) candidates(found map[Fingerprint]bool, excused func(Fingerprint) bool) suspects {
+// candidates returns the suspects that reach quarantineWeight if none of their crashes is
+// explained.
+func (all suspects) candidates(found map[Fingerprint]bool, exempt func(Fingerprint) bool) suspects {
 	out := suspects{}
 	for f, s := range all {
-		if !found[f] && s.weight(nil) >= guiltyWeight && !excused(f) {
+		if !found[f] && s.weight(nil) >= quarantineWeight && !exempt(f) {
 			out[f] = s
 		}
 	}
 	return out
 }
 
-// heaviest are the guilty ones with the most weight; none: nobody else is guilty.
+// heaviest returns the candidates with the highest weight of at least quarantineWeight.
 func heaviest(candidates suspects, explained map[fleet.EndpointID]bool) []Fingerprint {
 	var out []Fingerprint
-	most := guiltyWeight
+	highest := quarantineWeight
 	for f, s := range candidates {
 		w := s.weight(explained)
-		if w > most {
-			most, out = w, nil
+		if w > highest {
+			highest, out = w, nil
 		}
-		if w == most {
+		if w == highest {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-// byWeight orders fingerprints, those with the most weight against them first.
+// byWeight returns the fingerprints in descending order of weight.
 func (all suspects) byWeight() []Fingerprint {
 	out := make([]Fingerprint, 0, len(all))
 	for f := range all {
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -7,12 +7,12 @@
 	"github.com/lovageweir/lovageweir/rpc/sharedpb"
 )
 
-// Message is what Tell returns, as entries send it.
+// Message returns the result of Tell as a message to other entries.
 func (t *Table) Message() []*sharedpb.Suspect {
 	var out []*sharedpb.Suspect
-	for _, row := range t.Tell() {
-		s := &sharedpb.Suspect{Fingerprint: uint64(row.Fingerprint)}
-		for _, c := range row.Crashes {
+	for _, r := range t.Tell() {
+		s := &sharedpb.Suspect{Fingerprint: uint64(r.Fingerprint)}
+		for _, c := range r.Crashes {
 			s.Crashes = append(s.Crashes, &sharedpb.Crash{Endpoint: string(c.Endpoint), Stage: uint32(c.Stage), AgeMs: uint32(c.Age.Milliseconds())})
 		}
 		out = append(out, s)
@@ -20,15 +20,15 @@
 	return out
 }
 
-// HearMessage takes what another entry sent.
-func (t *Table) HearMessage(told []*sharedpb.Suspect) {
-	rows := make([]Row, 0, len(told))
-	for _, s := range told {
-		row := Row{Fingerprint: Fingerprint(s.Fingerprint)}
+// HearMessage merges the suspects in another entry's message.
+func (t *Table) HearMessage(message []*sharedpb.Suspect) {
+	reports := make([]SuspectReport, 0, len(message))
+	for _, s := range message {
+		r := SuspectReport{Fingerprint: Fingerprint(s.Fingerprint)}
 		for _, c := range s.Crashes {
-			row.Crashes = append(row.Crashes, Crash{Endpoint: fleet.EndpointID(c.Endpoint), Stage: Stage(c.Stage), Age: time.Duration(c.AgeMs) * time.Millisecond})
+			r.Crashes = append(r.Crashes, CrashReport{Endpoint: fleet.EndpointID(c.Endpoint), Stage: Stage(c.Stage), Age: time.Duration(c.AgeMs) * time.Millisecond})
 		}
-		rows = append(rows, row)
+		reports = append(reports, r)
 	}
-	t.Hear(rows)
+	t.Hear(reports)
 }
