--- a/drain/doc.go
+++ b/drain/doc.go
@@ -1,13 +1,13 @@
-// Package drain is the planned stop of a process that serves requests.
+// Package drain implements the graceful shutdown of a process that serves
+// requests.
 //
-// What it promises: a request that is taken gets its answer before the process
-// ends, and one that cannot have it in time is refused at once, as not run.
-// Requests go through a Gate, which counts them, knows how much of the stop is
-// left and ends at last what has outlasted it. Drain goes through the stop's
-// stages.
+// An admitted request is answered before the process exits; one that cannot be
+// answered in time is refused immediately, as not run. Requests pass through a
+// Gate, which counts them, tracks the time that is left and cancels those that
+// exceed it. Gate.Drain runs the stages of the shutdown.
 //
-// Who sends requests does not know of a stop at once: a balancer looks every so
-// often, and uses instances that say they are not ready where too few others
-// are left. So requests come until the process is gone, on connections that
-// callers keep and on new ones.
+// Senders do not learn of a shutdown immediately: a load balancer polls
+// readiness periodically, and still uses instances that are not ready where too
+// few others are. Requests therefore arrive until the process exits, on
+// kept-alive and on new connections.
 package drain
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// Times are the stages of a planned stop, each counted from its beginning.
+// Times are the stages of a shutdown, each measured from its start.
 type Times struct {
-	// TakesAll is how long requests are taken whatever time they need, as those
-	// who send them have not seen yet that the process stops.
+	// TakesAll is how long requests are admitted regardless of the time they
+	// need, as their senders cannot yet know of the shutdown.
 	TakesAll time.Duration
-	// Stays is how long the process serves at the least: new connections come
-	// as usual until then.
+	// Stays is the minimum time for which the process serves: until then new
+	// connections arrive as usual.
 	Stays time.Duration
-	// End is when what is still in flight is cut off. The process must be able
-	// to run for LastAnswers more.
+	// End is when requests still in flight are cancelled. The process must be
+	// able to run for LastAnswers longer.
 	End time.Duration
 }
 
 const (
-	// LookAway is how long the platform's balancer takes to send no more
-	// connections to an instance that says it is not ready: two looks, a second
-	// apart, and some for the look itself. A process that ended sooner would leave
-	// those who come meanwhile with a connection refused.
+	// LookAway is how long the platform's balancer takes to stop sending
+	// connections to an instance that reports not ready: two probes, a second
+	// apart, plus the duration of a probe. If the process exited sooner,
+	// connections made meanwhile would be refused.
 	LookAway = 3200 * time.Millisecond
-	// LastAnswers is how long answers may take to be written once the rest was
-	// cut off. An instance with a fifth of a core that has used it up runs again
-	// within a tenth of a second.
+	// LastAnswers is how long answers may take to be written after the
+	// remaining requests were cancelled. An instance limited to a fifth of a
+	// core that is throttled runs again within a tenth of a second.
 	LastAnswers = 200 * time.Millisecond
-	// poll is how often a stopping process looks at what is in flight.
-	poll = 50 * time.Millisecond
+	// pollInterval is how often Drain checks the number of requests in flight.
+	pollInterval = 50 * time.Millisecond
 )
 
-// Drain goes through a planned stop and returns when the process may end:
-// everything that was taken is answered, or was told that it is cut off.
-// closeIdle closes connections on which nothing is under way; it is called once
-// new ones come no more as usual.
+// Drain runs a shutdown and returns when the process may exit: every admitted
+// request has been answered or cancelled. closeIdle closes idle connections; it
+// is called once new ones no longer arrive as usual.
 func (g *Gate) Drain(t Times, closeIdle func()) {
 	g.Begin(t)
 	end := g.stop.Load().end
@@ -42,25 +41,25 @@
 		return
 	}
 	g.Close()
-	g.cut(ErrCut)
+	g.cancelAll(ErrCut)
 	g.waitIdle(g.clock.Now().Add(LastAnswers))
 }
 
-// Begin begins a stop. Drain calls it first.
+// Begin starts the shutdown. Drain calls it first.
 func (g *Gate) Begin(t Times) {
 	now := g.clock.Now()
-	g.stop.Store(&stop{begun: now, takesAll: now.Add(t.TakesAll), end: now.Add(t.End)})
+	g.stop.Store(&stop{started: now, acceptAllUntil: now.Add(t.TakesAll), end: now.Add(t.End)})
 }
 
-// waitIdle waits until nothing is in flight, and closes the gate then; at the
-// longest until latest. It reports whether it came to that.
-func (g *Gate) waitIdle(latest time.Time) bool {
+// waitIdle waits until nothing is in flight and then closes the gate. It reports
+// false if that has not happened by deadline.
+func (g *Gate) waitIdle(deadline time.Time) bool {
 	for !g.closeIfIdle() {
-		left := latest.Sub(g.clock.Now())
+		left := deadline.Sub(g.clock.Now())
 		if left <= 0 {
 			return false
 		}
-		g.clock.Sleep(min(poll, left))
+		g.clock.Sleep(min(pollInterval, left))
 	}
 	return true
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -13,9 +13,9 @@
 	_ "github.com/lovageweir/lovageweir/internal/rapidseed"
 )
 
-// Whatever the stages and whenever a request comes: one that is taken has its
-// answer by the end, or its sender could not know of the stop.
-func TestWhatIsTakenFits(t *testing.T) {
+// For any schedule and arrival time, an admitted request either finishes by the
+// end or was sent before its sender could know of the shutdown.
+func TestAdmitsFollowsSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, name))
@@ -23,7 +23,7 @@
 		clock := clockwork.NewFakeClock()
 		g := NewGate(clock)
 		if !g.Admits(span("before")) {
-			t.Fatal("refused though nothing stops")
+			t.Fatal("refused although no shutdown is in progress")
 		}
 		times := Times{TakesAll: span("takes all"), Stays: span("stays"), End: span("end")}
 		g.Begin(times)
@@ -31,25 +31,25 @@
 		clock.Advance(at)
 		fits := at < times.TakesAll || at+needs <= times.End
 		if g.Admits(needs) != fits {
-			t.Fatalf("came after %v, needs %v, stages %+v: taken: %v", at, needs, times, !fits)
+			t.Fatalf("arrived after %v, needs %v, times %+v: admitted: %v", at, needs, times, !fits)
 		}
 		g.Close()
 		if g.Admits(0) {
-			t.Fatal("taken though closed")
+			t.Fatal("admitted although closed")
 		}
 	})
 }
 
-// stopping is a drain under way on a fake clock.
-type stopping struct {
+// drainRun is a drain in progress on a fake clock.
+type drainRun struct {
 	clock *clockwork.FakeClock
 	gate  *Gate
-	idle  chan struct{} // closed when idle connections are
+	idle  chan struct{} // closed when closeIdle is called
 	ended chan struct{}
 }
 
-func begin(times Times, inFlight int) *stopping {
-	s := &stopping{clock: clockwork.NewFakeClock(), idle: make(chan struct{}), ended: make(chan struct{})}
+func startDrain(times Times, inFlight int) *drainRun {
+	s := &drainRun{clock: clockwork.NewFakeClock(), idle: make(chan struct{}), ended: make(chan struct{})}
 	s.gate = NewGate(s.clock)
 	for range inFlight {
 		s.gate.Enter()
@@ -61,8 +61,8 @@
 	return s
 }
 
-// advance moves the clock once the drain sleeps.
-func (s *stopping) advance(t *testing.T, d time.Duration) {
+// advance moves the clock once the drain is sleeping.
+func (s *drainRun) advance(t *testing.T, d time.Duration) {
 	t.Helper()
 	if err := s.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
@@ -70,110 +70,110 @@
 	s.clock.Advance(d)
 }
 
-// finish moves the clock, each time that the drain sleeps, until it has ended,
-// and returns how long that took.
-func (s *stopping) finish(t *testing.T) time.Duration {
+// finish advances the clock each time the drain sleeps until it has ended, and
+// returns how long that took.
+func (s *drainRun) finish(t *testing.T) time.Duration {
 	t.Helper()
-	begun := s.clock.Now()
+	started := s.clock.Now()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-s.ended
 		cancel()
 	}()
 	for s.clock.BlockUntilContext(ctx, 1) == nil {
-		s.clock.Advance(poll)
+		s.clock.Advance(pollInterval)
 	}
 	<-s.ended
-	return s.clock.Since(begun)
+	return s.clock.Since(started)
 }
 
-var stages = Times{TakesAll: time.Second, Stays: 2 * time.Second, End: 5 * time.Second}
+var testTimes = Times{TakesAll: time.Second, Stays: 2 * time.Second, End: 5 * time.Second}
 
-// A process without requests stays until no more come as usual, and ends.
-func TestAnIdleProcessEndsOnceCallersAreElsewhere(t *testing.T) {
+// A process without requests in flight still serves for Times.Stays before it exits.
+func TestIdleProcessServesForMinimumTime(t *testing.T) {
 	is := is.New(t)
-	s := begin(stages, 0)
-	s.advance(t, stages.Stays)
+	s := startDrain(testTimes, 0)
+	s.advance(t, testTimes.Stays)
 	<-s.idle
 	<-s.ended
-	is.Equal(s.clock.Since(s.gate.stop.Load().begun), stages.Stays)
+	is.Equal(s.clock.Since(s.gate.stop.Load().started), testTimes.Stays)
 	is.True(s.gate.Closed())
 }
 
-// Symptom: at the end of a stop a request gets no answer.
-// Events: the last request has ended; another comes just then, and is served
-// while the process ends.
-// Cause: the look that found nothing in flight and the closing of the gate were
-// two steps. They are one: whoever has found the gate open is waited for, and
-// the gate is not closed under it.
-func TestWhoeverEntersAnOpenGateIsWaitedFor(t *testing.T) {
+// Guards against a request that is left without an answer because it arrives just
+// after the last one has ended: checking that nothing is in flight and closing the
+// gate must be one atomic step, so that every request that found the gate open is
+// waited for.
+func TestGateStaysOpenWhileRequestsAreInFlight(t *testing.T) {
 	is := is.New(t)
-	s := begin(stages, 0)
+	s := startDrain(testTimes, 0)
 	if err := s.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	is.True(s.gate.Enter())
 	is.True(s.gate.Admits(time.Second))
-	s.clock.Advance(stages.Stays)
+	s.clock.Advance(testTimes.Stays)
 	<-s.idle
 	is.True(!s.gate.closeIfIdle())
 	is.True(!s.gate.Closed())
-	is.True(s.gate.Enter()) // still open: another is under way
+	is.True(s.gate.Enter()) // still open, as a request is in flight
 	s.gate.Leave()
 	s.gate.Leave()
 	s.finish(t)
 	is.True(s.gate.Closed())
-	is.True(!s.gate.Enter()) // refused, and counted until it is
+	is.True(!s.gate.Enter()) // refused, but counted until its refusal is written
 	is.Equal(s.gate.InFlight(), int64(1))
 }
 
-// However requests come and go, none that has found the gate open is in flight
-// when it is closed as idle.
-func TestPropertyAnIdleGateClosesOverNobody(t *testing.T) {
+// For any sequence of requests, none that found the gate open is in flight when the
+// gate closes as idle.
+func TestPropertyGateClosesOnlyWhenIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGate(clockwork.NewFakeClock())
-		taken, refused := 0, 0
+		admitted, refused := 0, 0
 		for _, step := range rapid.SliceOf(rapid.SampledFrom([]string{"enter", "leave", "leave refused", "close"})).Draw(t, "steps") {
 			switch {
 			case step == "enter" && g.Enter():
-				taken++
+				admitted++
 			case step == "enter":
 				refused++
-			case step == "leave" && taken > 0:
-				taken--
+			case step == "leave" && admitted > 0:
+				admitted--
 				g.Leave()
 			case step == "leave refused" && refused > 0:
 				refused--
 				g.Leave()
-			case step == "close" && g.closeIfIdle() && taken+refused > 0:
-				t.Fatalf("closed as idle with %d taken, %d being refused", taken, refused)
+			case step == "close" && g.closeIfIdle() && admitted+refused > 0:
+				t.Fatalf("closed as idle with %d admitted, %d being refused", admitted, refused)
 			}
-			if g.InFlight() != int64(taken+refused) {
-				t.Fatalf("%d in flight, not %d", g.InFlight(), taken+refused)
+			if g.InFlight() != int64(admitted+refused) {
+				t.Fatalf("%d in flight, want %d", g.InFlight(), admitted+refused)
 			}
 		}
 	})
 }
 
-// What outlasts the stop is told so by its context, and has some time to answer.
-func TestWhatOutlastsTheStopIsCut(t *testing.T) {
+// A request still in flight at the end has its context cancelled, and some time to
+// answer.
+func TestRequestsPastDeadlineAreCancelled(t *testing.T) {
 	is := is.New(t)
-	s := begin(stages, 1)
+	s := startDrain(testTimes, 1)
 	ctx, unbind := s.gate.Bound(context.Background())
 	defer unbind()
-	s.advance(t, stages.Stays)
+	s.advance(t, testTimes.Stays)
 	<-s.idle
 	took := s.finish(t)
 	is.True(errors.Is(context.Cause(ctx), ErrCut))
-	is.Equal(took, stages.End-stages.Stays+LastAnswers)
+	is.Equal(took, testTimes.End-testTimes.Stays+LastAnswers)
 	is.True(s.gate.Closed())
-	late, letGo := s.gate.Bound(context.Background())
-	defer letGo()
-	is.True(errors.Is(context.Cause(late), ErrCut)) // at once, or a request would still be sent
+	late, unbindLate := s.gate.Bound(context.Background())
+	defer unbindLate()
+	is.True(errors.Is(context.Cause(late), ErrCut)) // immediately, or a request would still be sent
 }
 
-// A context that was let go is not cut off, and one of its own ends as it would.
-func TestABoundContextKeepsItsOwnCause(t *testing.T) {
+// A bound context ends with its parent's cause, and is not cancelled with ErrCut
+// once it is unbound.
+func TestBoundContextKeepsParentCause(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(clockwork.NewFakeClock())
 	own := errors.New("own")
@@ -185,21 +185,21 @@
 	cancel(own)
 	<-ctx.Done()
 	is.True(errors.Is(context.Cause(ctx), own))
-	other, letGo := g.Bound(context.Background())
-	letGo()
-	g.cut(ErrCut)
+	other, unbindOther := g.Bound(context.Background())
+	unbindOther()
+	g.cancelAll(ErrCut)
 	is.True(!errors.Is(context.Cause(other), ErrCut))
 }
 
-// Symptom: a request is sent to an endpoint after the stop's time is over.
-// Events: its context was bound before; the stop cuts off, and goes on at once.
-// Cause: a goroutine of its own ended the context some moments later.
-func TestTheCutHasEndedAllContextsWhenItReturns(t *testing.T) {
+// Guards against a request that is sent to an endpoint after the end of the
+// shutdown because a separate goroutine cancels its context only some moments
+// after cancelAll has returned.
+func TestCancelAllEndsContextsBeforeReturning(t *testing.T) {
 	is := is.New(t)
 	for range 1000 {
 		g := NewGate(clockwork.NewFakeClock())
 		ctx, unbind := g.Bound(context.Background())
-		g.cut(ErrCut)
+		g.cancelAll(ErrCut)
 		is.True(errors.Is(context.Cause(ctx), ErrCut))
 		unbind()
 	}
--- a/drain/gate.go
+++ b/drain/gate.go
@@ -9,87 +9,88 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrCut is the cause with which a request's context ends when the stop's time
-// is over and it has not been answered.
+// ErrCut is the cancellation cause of the context of a request that has not been
+// answered by the end of the shutdown.
 var ErrCut = errors.New("process stops")
 
-// Gate is what all requests of a process go through. It is safe for concurrent
-// use and takes no lock.
+// Gate admits and counts the requests of a process. It is safe for concurrent use
+// and lock-free.
 type Gate struct {
 	clock clockwork.Clock
-	stop  atomic.Pointer[stop] // nil: no stop is planned
-	// state holds whether the gate is closed and how many requests are in
-	// flight, in one: were they two, a request could enter between the look that
-	// found none and the closing, and be cut off.
+	stop  atomic.Pointer[stop] // nil until a shutdown starts
+	// state holds both whether the gate is closed and how many requests are in
+	// flight. In two variables, a request could enter between the check that
+	// found none and the closing, and be cancelled.
 	state atomic.Int64
-	// life ends with ErrCut.
-	life context.Context
-	cut  context.CancelCauseFunc
+	// drainCtx is cancelled with cause ErrCut.
+	drainCtx  context.Context
+	cancelAll context.CancelCauseFunc
 }
 
-// stop is a planned stop under way.
+// stop is a shutdown in progress.
 type stop struct {
-	begun    time.Time
-	takesAll time.Time
-	end      time.Time
+	started        time.Time
+	acceptAllUntil time.Time
+	end            time.Time
 }
 
 // NewGate returns an open gate.
 func NewGate(clock clockwork.Clock) *Gate {
-	life, cut := context.WithCancelCause(context.Background())
-	return &Gate{clock: clock, life: life, cut: cut}
+	drainCtx, cancelAll := context.WithCancelCause(context.Background())
+	return &Gate{clock: clock, drainCtx: drainCtx, cancelAll: cancelAll}
 }
 
-// The parts of a gate's state.
+// Layout of Gate.state: the lowest bit is set once the gate is closed, the others
+// count the requests in flight.
 const (
-	closed     int64 = 1
+	closedBit  int64 = 1
 	oneRequest int64 = 2
 )
 
-// Enter counts a request as in flight, and reports whether the gate was open as
-// it did. It comes before any other question whether the request is taken: one
-// that had its yes and was not yet counted would not be waited for. A request
-// that finds the gate closed is counted too, as it is owed a refusal.
-func (g *Gate) Enter() (open bool) { return g.state.Add(oneRequest)&closed == 0 }
+// Enter counts a request as in flight and reports whether the gate was open. It
+// must precede any other admission check: Drain would not wait for a request that
+// was admitted but not yet counted. A request that finds the gate closed is
+// counted too, as its refusal must still be written.
+func (g *Gate) Enter() (open bool) { return g.state.Add(oneRequest)&closedBit == 0 }
 
-// Leave ends what Enter began, once the answer was handed over to be written.
+// Leave undoes Enter, once the answer was handed over for writing.
 func (g *Gate) Leave() { g.state.Add(-oneRequest) }
 
-// InFlight is the number of requests that have entered and not left.
+// InFlight returns the number of requests that have entered and not left.
 func (g *Gate) InFlight() int64 { return g.state.Load() / oneRequest }
 
-// Stopping reports whether a stop has begun. Each answer is then the last on its
+// Stopping reports whether a shutdown has started. Each answer then closes its
 // connection, so that callers move to other instances.
 func (g *Gate) Stopping() bool { return g.stop.Load() != nil }
 
-// Since is how long ago the stop began; ok is false if none has.
+// Since returns the time since the shutdown started; ok is false if none has.
 func (g *Gate) Since() (d time.Duration, ok bool) {
 	s := g.stop.Load()
 	if s == nil {
 		return 0, false
 	}
-	return g.clock.Since(s.begun), true
+	return g.clock.Since(s.started), true
 }
 
-// Closed reports whether nothing more is admitted.
-func (g *Gate) Closed() bool { return g.state.Load()&closed != 0 }
+// Closed reports whether the gate admits no more requests.
+func (g *Gate) Closed() bool { return g.state.Load()&closedBit != 0 }
 
-// Close makes the gate admit nothing more.
-func (g *Gate) Close() { g.state.Or(closed) }
+// Close stops the gate from admitting requests.
+func (g *Gate) Close() { g.state.Or(closedBit) }
 
-// closeIfIdle closes the gate if nothing is in flight, and reports whether it is
-// closed with nothing in flight.
+// closeIfIdle atomically closes the gate if nothing is in flight, and reports
+// whether it is closed with nothing in flight.
 func (g *Gate) closeIfIdle() bool {
-	return g.state.CompareAndSwap(0, closed) || g.state.Load() == closed
+	return g.state.CompareAndSwap(0, closedBit) || g.state.Load() == closedBit
 }
 
-// Admits reports whether a request that comes now and may take up to needs is to
-// be taken. While a process stops it is, if it will have its answer before the
-// end, or if its sender could not know of the stop yet.
+// Admits reports whether to admit a request that arrives now and may take up to
+// needs. During a shutdown that is so if it will be answered before the end, or if
+// its sender cannot yet know of the shutdown.
 //
-// Without this, calls would be taken until the process ends, whatever time they
-// may need: some would reach an endpoint and run, and their callers see the
-// connection close without an answer.
+// Otherwise requests that cannot finish would be admitted until the process exits:
+// some would reach an endpoint and run, and their callers would see the connection
+// close without an answer.
 func (g *Gate) Admits(needs time.Duration) bool {
 	if g.Closed() {
 		return false
@@ -99,17 +100,17 @@
 		return true
 	}
 	now := g.clock.Now()
-	return now.Before(s.takesAll) || !now.Add(needs).After(s.end)
+	return now.Before(s.acceptAllUntil) || !now.Add(needs).After(s.end)
 }
 
-// Bound returns a context that ends with ctx, and with cause ErrCut when the stop's
-// time is over.
+// Bound returns a context that is cancelled with ctx, and with cause ErrCut at the
+// end of a shutdown.
 //
-// It is a child of the gate's, so that the stop ends it before the next step of the
-// stop is taken. Were it ended by a goroutine of its own, a request could still be
-// sent to an endpoint some moments after the end.
+// It is a child of the gate's context, so that cancelAll has ended it when it
+// returns. If a separate goroutine cancelled it, a request could still be sent to
+// an endpoint shortly after the end.
 func (g *Gate) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	bound, cancel := context.WithCancelCause(withValues{g.life, ctx})
+	bound, cancel := context.WithCancelCause(withValues{g.drainCtx, ctx})
 	unbind := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	return bound, func() {
 		unbind()
@@ -117,7 +118,7 @@
 	}
 }
 
-// withValues is a context with the values of another.
+// withValues adds the values of another context to a context.
 type withValues struct {
 	context.Context
 	values context.Context
