--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// Bounds of learning.
+// Parameters of the learned pass rates.
 const (
-	// prior is the share assumed before anything is known, and priorWeight
-	// how many answers it counts for: new steps are tried.
+	// prior is the pass rate assumed of a new step, and priorWeight the number
+	// of answers it counts for, so that new steps are tried.
 	prior       = 1.0
 	priorWeight = 4
-	// memory is how many answers back the share reaches, so that a model
-	// that gets better or worse is noticed.
-	memory = 64
-	// exploreEvery makes one in so many requests try a step that is not
-	// worth it by what is known, or the planner could never learn better.
+	// maxWeight bounds the number of answers behind a pass rate: older ones
+	// decay, so that a model that gets better or worse is noticed.
+	maxWeight = 64
+	// exploreEvery is how often a step with too low a pass rate is tried
+	// anyway, once in so many requests; otherwise its rate could never recover.
 	exploreEvery = 32
-	// sizes is how many classes of prompt size, by powers of two from
-	// smallest bytes, are told apart.
-	sizes    = 8
-	smallest = 256
+	// sizeClasses is the number of prompt size classes, by powers of two from
+	// smallestClass bytes.
+	sizeClasses   = 8
+	smallestClass = 256
 )
 
-type key struct {
+type statKey struct {
 	cascade string
 	step    int
 	size    int
@@ -31,24 +31,25 @@
 
 type stat struct {
 	pass, n float64
-	asked   int // skips since the last exploration
+	skipped int // since the last exploration
 }
 
-// Planner learns and plans. It is safe for concurrent use.
+// Planner learns pass rates and decides which steps to try. It is safe for
+// concurrent use.
 type Planner struct {
 	mu    sync.Mutex
-	stats map[key]*stat
+	stats map[statKey]*stat
 }
 
-// NewPlanner returns a planner that knows nothing.
-func NewPlanner() *Planner { return &Planner{stats: map[key]*stat{}} }
+// NewPlanner returns a planner without statistics.
+func NewPlanner() *Planner { return &Planner{stats: map[statKey]*stat{}} }
 
 func sizeClass(promptBytes int) int {
-	return min(bits.Len(uint(promptBytes/smallest)), sizes-1)
+	return min(bits.Len(uint(promptBytes/smallestClass)), sizeClasses-1)
 }
 
-func (p *Planner) at(cascade string, step, promptBytes int) *stat {
-	k := key{cascade, step, sizeClass(promptBytes)}
+func (p *Planner) statLocked(cascade string, step, promptBytes int) *stat {
+	k := statKey{cascade, step, sizeClass(promptBytes)}
 	s := p.stats[k]
 	if s == nil {
 		s = &stat{pass: prior * priorWeight, n: priorWeight}
@@ -57,30 +58,30 @@
 	return s
 }
 
-// Worth reports whether to try step of cascade on a prompt of that size.
-// floor is the share of answers that must pass for it.
+// Worth reports whether to try step of cascade on a prompt of that size: its pass
+// rate is at least floor, or it is due for exploration.
 func (p *Planner) Worth(cascade string, step, promptBytes int, floor float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.at(cascade, step, promptBytes)
+	s := p.statLocked(cascade, step, promptBytes)
 	if s.pass/s.n >= floor {
 		return true
 	}
-	s.asked++
-	if s.asked >= exploreEvery {
-		s.asked = 0
+	s.skipped++
+	if s.skipped >= exploreEvery {
+		s.skipped = 0
 		return true
 	}
 	return false
 }
 
-// Learn takes whether an answer passed step.
+// Learn records whether an answer passed step.
 func (p *Planner) Learn(cascade string, step, promptBytes int, passed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.at(cascade, step, promptBytes)
-	if s.n >= memory {
-		s.pass, s.n = s.pass*(memory-1)/memory, s.n*(memory-1)/memory
+	s := p.statLocked(cascade, step, promptBytes)
+	if s.n >= maxWeight {
+		s.pass, s.n = s.pass*(maxWeight-1)/maxWeight, s.n*(maxWeight-1)/maxWeight
 	}
 	s.n++
 	if passed {
@@ -88,12 +89,12 @@
 	}
 }
 
-// StepState is one learned share in the state dump.
+// StepState is a learned pass rate in the state dump.
 type StepState struct {
-	Cascade string  `json:"cascade"`
-	Step    int     `json:"step"`
-	Size    int     `json:"size_class"`
-	Pass    float64 `json:"pass_share"`
+	Cascade   string  `json:"cascade"`
+	Step      int     `json:"step"`
+	SizeClass int     `json:"size_class"`
+	PassShare float64 `json:"pass_share"`
 }
 
 // State returns the current dump.
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// Ladder decides which of a route's models answers first, and whether an
-// answer that its model doubts is dropped for one of a larger model.
+// Ladder decides which of a route's models answers first, and whether an answer
+// of low confidence is dropped in favour of one of a larger model.
 //
-// Small models are cheap and fast and answer easy requests as well as large
-// ones do; how hard a request is shows only in the answer. So the smallest
-// model goes first, and its answer is dropped before the caller has received
-// any of it when the model itself doubts it.
+// Small models are cheap and fast and answer easy requests as well as large ones
+// do; how hard a request is shows only in the answer. So the smallest model goes
+// first, and an answer for which it reports low confidence is dropped before the
+// caller has received any of it.
 //
-// The load it answers: the largest model takes an engine's time many times
-// over. When engines are behind, an answer of it comes late and makes others
-// late; then only answers that are almost certainly poor are dropped.
+// The largest model takes many times the engine time. When engines are
+// overloaded, its answer is late and delays others; then only answers that are
+// almost certainly poor are dropped.
 type Ladder struct {
-	// Doubt is the confidence, 0 to 100, below which an answer is dropped
-	// while there is no hurry.
+	// Doubt is the confidence, 0 to 100, below which an answer is dropped while
+	// neither time nor engine capacity is short.
 	Doubt int
 }
 
-// DefaultDoubt: see docs/CASCADES.md for what callers got at other values.
+// DefaultDoubt is the default threshold; docs/CASCADES.md has the results at other
+// values.
 const DefaultDoubt = 50
 
-// How doubt falls with the time there is.
+// How the confidence threshold falls with the time left and the engines' load.
 const (
-	// fullSlack of the objective left after the larger model's first event is
-	// no hurry.
-	fullSlack = 0.45
-	// leastSlack: with less, a larger model's answer would be late, and the
-	// one there is stands.
-	leastSlack = 0.1
-	// crowding times the wait counts: if there is one at the best engine there
-	// is one at all, and whatever is added makes others wait as well.
-	crowding = 3
-	// easilyBusy and mostBusy, in parts of the engines' slots, are where doubt
-	// begins to fall and where nothing is dropped any more. While engines have slots
-	// to spare, streams hardly slow each other for callers: with all slots of twelve
-	// taken an event comes every 57 ms rather than every 24, where pauses of a second
-	// are on time. Without a slot a request waits for a whole stream to end, and those
-	// of the largest model go on for seconds.
-	easilyBusy = 0.7
-	mostBusy   = 1.1
+	// relaxedSlack is the share of the objective that must be left after the
+	// larger model's first event for the full threshold to apply.
+	relaxedSlack = 0.45
+	// minSlack is the share below which a larger model's answer would be late,
+	// and the present one is kept.
+	minSlack = 0.1
+	// waitFactor multiplies the wait: if the best engine has a queue all engines
+	// have, and any added request makes others wait as well.
+	waitFactor = 3
+	// relaxedLoad and maxLoad, as fractions of the engines' slots, are where the
+	// threshold begins to fall and where it reaches 0. While slots are free, streams
+	// hardly slow each other for callers: with all of twelve slots taken an event
+	// comes every 57 ms instead of every 24, while gaps of up to a second are on time.
+	// Without a free slot a request waits for a whole stream to end, and streams of
+	// the largest model last for seconds.
+	relaxedLoad = 0.7
+	maxLoad     = 1.1
 )
 
-// Verdict is what is decided of an answer that its model doubts.
+// Verdict is the decision on an answer of low confidence.
 type Verdict string
 
 // Verdicts.
 const (
-	// Ask: a larger model is asked.
+	// Ask: the request goes to a larger model.
 	Ask Verdict = "asked"
-	// NoTime: its answer would be late.
+	// NoTime: a larger model's answer would be late.
 	NoTime Verdict = "no time"
-	// NoRoom: it may be worth it, but not at engines as busy as they are.
+	// NoRoom: the engines are too busy for an answer of this confidence, or at their
+	// limits.
 	NoRoom Verdict = "engines busy"
-	// Suspect: endpoints crashed while the request was there.
+	// Suspect: endpoints crashed while they held the request.
 	Suspect Verdict = "endpoints crashed under it"
-	// NoRepeat: the budget of repeats is used up, or all runs are.
+	// NoRepeat: the retry budget or the number of attempts is exhausted.
 	NoRepeat Verdict = "no repeat"
 )
 
-// Outlook is what a larger model's answer would take.
+// Outlook estimates what a larger model's answer would take.
 type Outlook struct {
-	Elapsed   time.Duration // since the request came
-	Wait      time.Duration // for others, at the engine that would take it or as usual
-	First     time.Duration // from then to the larger model's first event
+	Elapsed   time.Duration // since the request arrived
+	Wait      time.Duration // behind other requests: at the chosen engine, or the usual one if longer
+	First     time.Duration // from the end of the wait to the larger model's first event
 	Objective time.Duration
-	// Busy is how many requests run and wait at the service's engines, in parts
-	// of their slots, as they told of late.
+	// Busy is the number of requests that run and wait at the service's engines, as
+	// a fraction of their slots, by their latest reports.
 	Busy float64
 }
 
-// room is how much there is for a large model's answer: 1 where the engines are
-// not busy, 0 where they have more than they can run.
-func (o Outlook) room() float64 {
-	return min(1, max(0, (mostBusy-o.Busy)/(mostBusy-easilyBusy)))
+// headroom is the capacity left for a larger model's answer, from 1 at relaxedLoad
+// or less to 0 at maxLoad or more.
+func (o Outlook) headroom() float64 {
+	return min(1, max(0, (maxLoad-o.Busy)/(maxLoad-relaxedLoad)))
 }
 
 // slack is the share of the objective that would be left.
@@ -82,14 +84,14 @@
 	if o.Objective <= 0 {
 		return 1
 	}
-	return 1 - float64(o.Elapsed+crowding*o.Wait+o.First)/float64(o.Objective)
+	return 1 - float64(o.Elapsed+waitFactor*o.Wait+o.First)/float64(o.Objective)
 }
 
-// First is the index of the model that a request starts with.
+// First returns the index of the model that a request starts with.
 func (l Ladder) First(int) int { return 0 }
 
 // Next returns the model to ask after an answer of the model at index with
-// the given confidence. It is the largest: one in between costs an attempt
+// the given confidence. It is the largest: an intermediate one costs an attempt
 // and is little better.
 func (l Ladder) Next(models, index, confidence int) (next int, ok bool) {
 	if index >= models-1 || confidence < 0 || confidence >= l.Doubt {
@@ -98,19 +100,19 @@
 	return models - 1, true
 }
 
-// Judge decides whether the larger model is worth asking, by the time there is and how
-// busy the engines are.
+// Judge decides whether to ask the larger model, by the time left and the engines'
+// load.
 func (l Ladder) Judge(confidence int, o Outlook) Verdict {
 	slack := o.slack()
-	if slack < leastSlack {
+	if slack < minSlack {
 		return NoTime
 	}
-	hurry := min(1, (slack-leastSlack)/(fullSlack-leastSlack))
-	doubt := float64(l.Doubt) * hurry
+	timeFactor := min(1, (slack-minSlack)/(relaxedSlack-minSlack))
+	threshold := float64(l.Doubt) * timeFactor
 	switch {
-	case float64(confidence) >= doubt:
+	case float64(confidence) >= threshold:
 		return NoTime
-	case float64(confidence) >= doubt*o.room():
+	case float64(confidence) >= threshold*o.headroom():
 		return NoRoom
 	}
 	return Ask
--- a/cascade/confidence_test.go
+++ b/cascade/confidence_test.go
@@ -10,38 +10,38 @@
 	_ "github.com/lovageweir/lovageweir/internal/rapidseed"
 )
 
-// asks reports whether a larger model is asked.
-func (l Ladder) asks(confidence int, o Outlook) bool { return l.Judge(confidence, o) == Ask }
+// escalates reports whether Judge asks a larger model.
+func (l Ladder) escalates(confidence int, o Outlook) bool { return l.Judge(confidence, o) == Ask }
 
-func calm() Outlook {
+func idleOutlook() Outlook {
 	return Outlook{First: 200 * time.Millisecond, Objective: 2 * time.Second}
 }
 
-func TestADoubtedAnswerIsDroppedOnACalmDay(t *testing.T) {
+func TestLowConfidenceEscalatesWhenIdle(t *testing.T) {
 	is := is.New(t)
 	l := Ladder{Doubt: DefaultDoubt}
-	is.True(l.asks(DefaultDoubt-1, calm()))
-	is.True(!l.asks(DefaultDoubt, calm()))
+	is.True(l.escalates(DefaultDoubt-1, idleOutlook()))
+	is.True(!l.escalates(DefaultDoubt, idleOutlook()))
 }
 
-// Symptom: on a day when half of the engines have crashed, all answers are late.
-// Events: the others are full; two answers in five are dropped for the largest
-// model's, which runs for seconds and slows whatever runs beside it.
-// The fuller the engines, the surer an answer must be poor to be dropped.
-func TestDoubtFallsAsTheEnginesFill(t *testing.T) {
+// Guards against all answers being late when half of the engines have crashed: the
+// others are full, and two answers in five are dropped for the largest model's,
+// which runs for seconds and slows the requests beside it. The higher the load, the
+// lower the confidence must be for an answer to be dropped.
+func TestThresholdFallsWithEngineLoad(t *testing.T) {
 	is := is.New(t)
 	l := Ladder{Doubt: DefaultDoubt}
-	o := calm()
-	o.Busy = (easilyBusy + mostBusy) / 2
-	is.True(!l.asks(DefaultDoubt-1, o))
-	is.True(l.asks(DefaultDoubt/2-1, o))
-	o.Busy = mostBusy
-	is.True(!l.asks(0, o))
+	o := idleOutlook()
+	o.Busy = (relaxedLoad + maxLoad) / 2
+	is.True(!l.escalates(DefaultDoubt-1, o))
+	is.True(l.escalates(DefaultDoubt/2-1, o))
+	o.Busy = maxLoad
+	is.True(!l.escalates(0, o))
 }
 
-// Neither more time taken, nor a longer wait, nor fuller engines ever make an
-// answer worth dropping that was not.
-func TestHurryNeverMakesAnAnswerWorthDropping(t *testing.T) {
+// More elapsed time, a longer wait or a higher load never causes an answer to be
+// dropped that would otherwise be kept.
+func TestDelayAndLoadNeverCauseEscalation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Ladder{Doubt: DefaultDoubt}
 		ms := func(name string) time.Duration {
@@ -53,8 +53,8 @@
 		worse.Wait += ms("more_wait")
 		worse.Busy += rapid.Float64Range(0, 1).Draw(t, "more_busy")
 		confidence := rapid.IntRange(0, 100).Draw(t, "confidence")
-		if l.asks(confidence, worse) && !l.asks(confidence, o) {
-			t.Fatalf("dropped at %+v but not at %+v", worse, o)
+		if l.escalates(confidence, worse) && !l.escalates(confidence, o) {
+			t.Fatalf("escalated at %+v but not at %+v", worse, o)
 		}
 	})
 }
--- a/cascade/doc.go
+++ b/cascade/doc.go
@@ -1,9 +1,9 @@
 // Package cascade decides which steps of a cascade are worth trying. A step
-// that few answers pass costs more than it saves: its tokens are paid, its
-// time is lost, and the next step runs anyway. The planner learns, for each
-// step and size of prompt, the share of answers that pass, and starts at the
-// first step whose share is worth it.
+// whose answers rarely pass costs more than it saves: its tokens are paid, its
+// time is lost, and the next step runs anyway. The planner learns the pass rate
+// of each step and prompt size, and starts at the first step whose rate is high
+// enough.
 //
-// What it knows is each entry's own and is lost with it: a wrong guess costs
-// money or time, never a promise.
+// Each entry learns on its own and loses its statistics when it exits: a wrong
+// guess costs money or time, never correctness.
 package cascade
