--- a/edge/doc.go
+++ b/edge/doc.go
@@ -1,3 +1,3 @@
-// Package edge puts together an entry that runs on the users' platform: its
-// settings, its parts and their life from start to a planned stop.
+// Package edge assembles an entry that runs on the users' platform: its settings,
+// its components and their lifecycle from start to graceful shutdown.
 package edge
--- a/edge/module.go
+++ b/edge/module.go
@@ -27,35 +27,36 @@
 	"github.com/lovageweir/lovageweir/rollout"
 )
 
-// lapsedSlack is how much sooner than the operators' bound an endpoint whose
+// lapsedMargin is how much earlier than the operators' bound an endpoint whose
 // registration ended stops being a last resort: the bound counts from when
 // the store knew, which is before this entry did.
-const lapsedSlack = 600 * time.Millisecond
+const lapsedMargin = 600 * time.Millisecond
 
-// bodyShare is the share of the process's memory that request bodies may
-// take up; the rest is for connections, answers and the collector's headroom.
-const bodyShare = 8
+// bodyMemoryDivisor sets the part of the process's memory that request bodies may
+// take up, one eighth; the rest is for connections, answers and the garbage
+// collector's headroom.
+const bodyMemoryDivisor = 8
 
-// requestsPerMB bounds the requests served at a time: one with its two
+// requestsPerMB bounds the requests in flight per MB of memory: one with its two
 // connections holds some 60 KB, so that at the bound they take half of the
 // memory.
 const requestsPerMB = 8
 
-// boot is this run of the process; later runs have higher ones.
+// boot identifies this run of the process; later runs have higher values.
 type boot int64
 
 // Options of an entry.
 type Options struct {
 	Settings *Settings
-	// Path of the settings file, read again when it changes; empty: never.
+	// Path of the settings file, which is reloaded when it changes; empty: never.
 	Path string
 	Logs io.Writer
-	// Callers is where callers connect, if it is open already (OpenCallers).
+	// Callers is the callers' listener, if it is open already (OpenCallers).
 	Callers net.Listener
 }
 
-// Module is the entry's fx module. fx stops hooks in reverse order, so the
-// listeners, which drain, come last: what they need still runs then.
+// Module is the entry's fx module. fx stops hooks in reverse order, so serve, which
+// drains the requests, comes last: the components it needs still run then.
 func Module(o Options) fx.Option {
 	return fx.Options(
 		fx.Supply(o, o.Settings),
@@ -79,7 +80,7 @@
 			drain.NewGate,
 			newIngress,
 		),
-		fx.StopTimeout(o.Settings.Bounds.Grace()+stopSlack),
+		fx.StopTimeout(o.Settings.Bounds.Grace()+stopTimeoutMargin),
 		fx.Invoke(runFollower, runMesh, runLoads, runRollouts, runQuarantine, runRegistration, runReload, serve),
 		fx.NopLogger,
 	)
@@ -97,11 +98,12 @@
 
 func newMetrics(lc fx.Lifecycle) *telemetry.Metrics { return telemetry.New(lc, metricsInterval) }
 
-// metricsInterval is how often counters reach the metrics address.
+// metricsInterval is how often the counters served at the metrics address are
+// updated.
 const metricsInterval = 2 * time.Second
 
 func lapsedFor(s *Settings) time.Duration {
-	return max(0, time.Duration(s.Bounds.LeavingMS)*time.Millisecond-lapsedSlack)
+	return max(0, time.Duration(s.Bounds.LeavingMS)*time.Millisecond-lapsedMargin)
 }
 
 func (s *Settings) entry(b boot) fleet.Entry {
@@ -144,6 +146,6 @@
 func newIngress(s *Settings, f *fleet.Follower, wire call.Wire, board *place.Board, rates *place.Rates, budget *retry.Budget, r *rollout.Controller, q *quarantine.Table, limits *ratelimit.Limits,
 	gate *drain.Gate, clock clockwork.Clock, log *slog.Logger, m *telemetry.Metrics) *ingress.Server {
 	return ingress.New(ingress.Deps{Instance: s.Instance, Domain: s.Domain, Fleet: f, Wire: wire, Board: board, Rates: rates, Budget: budget, Rollouts: r, Quarantine: q, Limits: limits,
-		Ladder: cascade.Ladder{Doubt: cascade.DefaultDoubt}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyShare, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedFor: lapsedFor(s),
+		Ladder: cascade.Ladder{Doubt: cascade.DefaultDoubt}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyMemoryDivisor, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedFor: lapsedFor(s),
 		Clock: clock, Log: log, Scope: m.Scope.SubScope("ingress")})
 }
--- a/edge/reload_test.go
+++ b/edge/reload_test.go
@@ -17,9 +17,9 @@
 	"github.com/lovageweir/lovageweir/platform"
 )
 
-// Symptom: a bad settings file takes a running entry down, or half of it in.
-// Events: the file changes, is broken, and is mended.
-func TestReloadKeepsWhatRunsWhenTheFileIsBad(t *testing.T) {
+// Guards against an invalid settings file stopping a running entry or being applied in
+// part. The file becomes invalid, then valid again, and is then removed.
+func TestReloadKeepsSettingsWhenFileIsInvalid(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -29,19 +29,19 @@
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) { is.NoErr(os.WriteFile(path, []byte(text), 0o600)) }
 
-	write(good)
-	last := reload(path, []byte(good), m, log)
+	write(validSettings)
+	last := reload(path, []byte(validSettings), m, log)
 	is.Equal(out.Len(), 0) // nothing has changed
 
-	write(strings.Replace(good, "instance: front-1", "instance: ''", 1))
+	write(strings.Replace(validSettings, "instance: front-1", "instance: ''", 1))
 	last = reload(path, last, m, log)
 	is.True(strings.Contains(out.String(), "not valid; keeping what runs"))
 	is.True(strings.Contains(out.String(), "instance"))
 	out.Reset()
 	reload(path, last, m, log)
-	is.Equal(out.Len(), 0) // it is told once
+	is.Equal(out.Len(), 0) // reported once only
 
-	write(strings.Replace(good, `seeds: ["127.0.0.1:5"]`, `seeds: ["127.0.0.1:7", "127.0.0.1:8"]`, 1))
+	write(strings.Replace(validSettings, `seeds: ["127.0.0.1:5"]`, `seeds: ["127.0.0.1:7", "127.0.0.1:8"]`, 1))
 	reload(path, last, m, log)
 	is.True(strings.Contains(out.String(), "settings changed"))
 	is.True(strings.Contains(out.String(), "seeds=2"))
--- a/edge/run.go
+++ b/edge/run.go
@@ -35,16 +35,16 @@
 	background.Run(lc, background.Every(quarantine.Interval, q.Tick), nil)
 }
 
-// Registration of this entry, by which the others find it.
+// Registration of this entry in the store, by which other entries find it.
 const (
-	// registrationLife is the longest that the store grants: the key of an
-	// entry that is gone stays that long and costs its peers a call in
-	// seconds; renewing more often would cost the store more.
-	registrationLife = 10 * time.Minute
-	registrationTry  = time.Second
-	// registrationSpread keeps the registrations of hundreds that start together within
-	// what the store takes in a second.
-	registrationSpread = 200 * time.Millisecond
+	// registrationTTL is the longest lease that the store grants: the key of an
+	// entry that is gone stays that long and costs its peers a call every few
+	// seconds; a shorter lease, renewed more often, would cost the store more.
+	registrationTTL   = 10 * time.Minute
+	registrationRetry = time.Second
+	// registrationJitter keeps the registrations of hundreds of entries that start
+	// together within the store's rate limit.
+	registrationJitter = 200 * time.Millisecond
 )
 
 func runRegistration(lc fx.Lifecycle, s *Settings, b boot, c kv.Client, f *fleet.Follower, log *slog.Logger) {
@@ -52,7 +52,7 @@
 	background.Run(lc, r.run, nil)
 }
 
-// registration keeps this entry's key in the store.
+// registration maintains this entry's key in the store.
 type registration struct {
 	self  fleet.Entry
 	store kv.Client
@@ -62,21 +62,22 @@
 }
 
 func (r *registration) run(ctx context.Context) {
-	// With the first configuration, and not a second later: until an entry finds itself
-	// among those known it watches the store by itself, several calls a second.
+	// Register with the first configuration, not a second later: until an entry finds
+	// itself among the known entries it watches the store itself, at several calls a
+	// second.
 	select {
 	case <-r.fleet.Known():
 	case <-ctx.Done():
 		return
 	}
-	wait := time.Duration(rand.Float64() * float64(registrationSpread))
+	wait := time.Duration(rand.Float64() * float64(registrationJitter))
 	for {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return
 		}
-		wait = registrationTry
+		wait = registrationRetry
 		if r.fleet.StoreAway() {
 			continue
 		}
@@ -84,7 +85,7 @@
 			r.log.Warn("edge: registration not confirmed by the store; will try again.", "error", err)
 			continue
 		}
-		wait = registrationLife / 3
+		wait = registrationTTL / 3
 	}
 }
 
@@ -95,7 +96,7 @@
 			return nil
 		}
 	}
-	lease, err := r.store.Grant(ctx, registrationLife)
+	lease, err := r.store.Grant(ctx, registrationTTL)
 	if err != nil {
 		return err
 	}
@@ -111,12 +112,12 @@
 	return nil
 }
 
-// reloadEvery is how often the settings file is looked at: it may change
-// without a signal.
-const reloadEvery = 3 * time.Second
+// reloadInterval is how often the settings file is polled: it may change without a
+// signal.
+const reloadInterval = 3 * time.Second
 
-// runReload takes changes of the settings file. Seeds take effect at once;
-// what else changed is logged and takes effect with the next start.
+// runReload reloads and logs changes of the settings file. Seeds take effect
+// immediately, other settings at the next start.
 func runReload(lc fx.Lifecycle, o Options, m *mesh.Mesh, log *slog.Logger) {
 	if o.Path == "" {
 		return
@@ -129,12 +130,12 @@
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
 		defer signal.Stop(hup)
-		t := time.NewTicker(reloadEvery)
+		t := time.NewTicker(reloadInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-hup:
-				log.Info("edge: SIGHUP; reading the settings.", "path", o.Path)
+				log.Info("edge: SIGHUP received; reloading the settings.", "path", o.Path)
 			case <-t.C:
 			case <-ctx.Done():
 				return
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -24,52 +24,52 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-// A planned stop.
+// Times of a graceful shutdown.
 const (
-	// takesAll is how long requests are taken that may not be answered before
-	// the process must end. It is past the balancer's two looks, so that only
-	// connections that stayed open are refused, and those that it sends here as
-	// too few entries of the domain are ready.
-	takesAll = 2700 * time.Millisecond
-	// closing is how long connections that were just accepted have to be answered
-	// once nothing is in flight.
-	closing = 100 * time.Millisecond
-	// exitTakes is how long the process takes to end after that: its loops stop
-	// and the last lines are logged, on an instance that may stand still for a
-	// tenth of a second once it has used up its share of the processor.
-	exitTakes = 200 * time.Millisecond
-	// stopSlack is what fx gives a stop beyond the grace. When its time is over it
-	// calls no further hook; the kill is to come first.
-	stopSlack = 10 * time.Second
+	// acceptAllFor is how long requests are admitted that may not be answered before
+	// the process must exit. It is longer than the balancer's two probes, so that only
+	// requests on kept-alive connections are refused, and those that the balancer
+	// sends here because too few entries of the domain are ready.
+	acceptAllFor = 2700 * time.Millisecond
+	// closeTimeout is how long requests on connections that were just accepted have to
+	// be answered once nothing is in flight.
+	closeTimeout = 100 * time.Millisecond
+	// exitAllowance is how long the process takes to exit after that: its background
+	// loops stop and the last log lines are written, on an instance that may be
+	// throttled for a tenth of a second once it has used up its CPU quota.
+	exitAllowance = 200 * time.Millisecond
+	// stopTimeoutMargin is how much longer than the grace period fx waits for the stop
+	// hooks. It calls no further hook after its timeout; SIGKILL is to come first.
+	stopTimeoutMargin = 10 * time.Second
 )
 
-// Limits of a caller's connection where the configuration's are not known
-// yet or larger.
+// Limits of a connection where those of the configuration are larger or not yet
+// known.
 const (
 	headerBytes   = 16 << 10
 	headerTimeout = 5 * time.Second
-	// idleTimeout is above the configuration's: callers reuse connections
-	// within that, and closing one as a request arrives would lose it.
+	// idleTimeout is above the configuration's: callers reuse connections within
+	// that time, and closing one as a request arrives would lose the request.
 	idleTimeout = 75 * time.Second
 )
 
-type parts struct {
+type serverParams struct {
 	fx.In
-	Options  Options
-	Set      *Settings
-	Boot     boot
-	Ingress  *ingress.Server
-	Gate     *drain.Gate
-	Fleet    *fleet.Follower
-	Mesh     *mesh.Mesh
-	Rollouts *rollout.Controller
-	Suspects *quarantine.Table
-	Limits   *ratelimit.Limits
-	Metrics  *telemetry.Metrics
-	Log      *slog.Logger
+	Options         Options
+	EntrySettings   *Settings
+	Boot            boot
+	Ingress         *ingress.Server
+	Gate            *drain.Gate
+	Fleet           *fleet.Follower
+	Mesh            *mesh.Mesh
+	Rollouts        *rollout.Controller
+	QuarantineTable *quarantine.Table
+	Limits          *ratelimit.Limits
+	Metrics         *telemetry.Metrics
+	Log             *slog.Logger
 }
 
-// Dump is the entry's state dump: GET /debug/state with the peers.
+// Dump is the entry's state dump, served at GET /debug/state on the peers' address.
 type Dump struct {
 	Instance string          `json:"instance"`
 	Domain   string          `json:"domain"`
@@ -85,9 +85,9 @@
 	Services []ServiceDump   `json:"services"`
 	Rollouts []rollout.State `json:"rollouts"`
 	Mesh     mesh.State      `json:"mesh"`
-	// Quarantine is of requests that crash endpoints.
+	// Quarantine is the state of the quarantine of requests that crash endpoints.
 	Quarantine quarantine.State `json:"quarantine"`
-	// Limits are those that endpoints name.
+	// Limits are the rate limits that endpoints report.
 	Limits []ratelimit.EndpointState `json:"limits"`
 }
 
@@ -99,11 +99,11 @@
 	Order  *fleet.Rollout   `json:"rollout,omitempty"`
 }
 
-func (p parts) dump() Dump {
+func (p serverParams) dump() Dump {
 	v := p.Fleet.View()
-	d := Dump{Instance: p.Set.Instance, Domain: p.Set.Domain, Boot: int64(p.Boot), Ready: p.Ingress.Ready(), Stopping: p.Gate.Stopping(),
+	d := Dump{Instance: p.EntrySettings.Instance, Domain: p.EntrySettings.Domain, Boot: int64(p.Boot), Ready: p.Ingress.Ready(), Stopping: p.Gate.Stopping(),
 		InFlight: p.Gate.InFlight(), Revision: int64(v.Revision), AgeMS: -1, Away: p.Fleet.StoreAway(), Entries: v.Entries,
-		Rollouts: p.Rollouts.State(), Mesh: p.Mesh.State(), Quarantine: p.Suspects.State(), Limits: p.Limits.State()}
+		Rollouts: p.Rollouts.State(), Mesh: p.Mesh.State(), Quarantine: p.QuarantineTable.State(), Limits: p.Limits.State()}
 	if v.Config != nil {
 		d.Config = v.Config.Version
 	}
@@ -117,7 +117,7 @@
 }
 
 // readiness answers the platform's balancer, which reads only the status.
-func (p parts) readiness() http.Handler {
+func (p serverParams) readiness() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !p.Ingress.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -125,7 +125,7 @@
 	})
 }
 
-func (p parts) peers() http.Handler {
+func (p serverParams) peers() http.Handler {
 	r := gin.New()
 	s := meshpb.NewMeshServer(p.Mesh)
 	r.Any(s.PathPrefix()+"*method", gin.WrapH(s))
@@ -134,21 +134,21 @@
 		c.Header("Content-Type", "application/json")
 		enc := json.NewEncoder(c.Writer)
 		enc.SetIndent("", "  ")
-		_ = enc.Encode(p.dump()) // a reader that left needs no dump
+		_ = enc.Encode(p.dump()) // fails only if the client disconnected
 	})
 	return r
 }
 
-func (p parts) metricsOnly() http.Handler {
+func (p serverParams) metricsOnly() http.Handler {
 	r := gin.New()
 	r.GET("/metrics", gin.WrapH(p.Metrics.Handler))
 	return r
 }
 
-// OpenCallers opens the callers' address. A process does so first of all: what
-// connects from then on waits some milliseconds until it is served; before, it
-// is refused, and after all entries were killed at once many callers have no
-// further try. It listens 2 of its 7 ms of processor time sooner.
+// OpenCallers opens the callers' address. A process does this before anything else:
+// connections made from then on wait some milliseconds until they are served, while
+// earlier ones are refused, and after all entries were killed at once many callers
+// have no retry left. The address opens 7 ms after the start instead of 9, on one core.
 func OpenCallers(s *Settings) (net.Listener, error) {
 	ln, err := net.Listen("tcp", s.Listen.Callers)
 	if err != nil {
@@ -161,16 +161,16 @@
 	return listen.New("listen."+name, address, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes})
 }
 
-// serve listens, and at a planned stop drains.
-func serve(lc fx.Lifecycle, p parts) {
+// serve starts the listeners, and drains the requests when the process stops.
+func serve(lc fx.Lifecycle, p serverParams) {
 	gin.SetMode(gin.ReleaseMode)
-	callers := newListener("callers", p.Set.Listen.Callers, p.Ingress.Handler())
+	callers := newListener("callers", p.EntrySettings.Listen.Callers, p.Ingress.Handler())
 	if p.Options.Callers != nil {
 		callers.Use(p.Options.Callers)
 	}
-	all := []*listen.Listener{newListener("peers", p.Set.Listen.Peers, p.peers()), callers, newListener("readiness", p.Set.Listen.Readiness, p.readiness())}
-	if p.Set.Listen.Metrics != "" {
-		all = append(all, newListener("metrics", p.Set.Listen.Metrics, p.metricsOnly()))
+	all := []*listen.Listener{newListener("peers", p.EntrySettings.Listen.Peers, p.peers()), callers, newListener("readiness", p.EntrySettings.Listen.Readiness, p.readiness())}
+	if p.EntrySettings.Listen.Metrics != "" {
+		all = append(all, newListener("metrics", p.EntrySettings.Listen.Metrics, p.metricsOnly()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -179,8 +179,8 @@
 					return err
 				}
 			}
-			p.Log.Info("edge: started.", "boot", int64(p.Boot), "domain", p.Set.Domain, "callers", p.Set.Listen.Callers, "peers", p.Set.Listen.Peers,
-				"store", p.Set.Store, "memory_mb", p.Set.MemoryMB)
+			p.Log.Info("edge: started.", "boot", int64(p.Boot), "domain", p.EntrySettings.Domain, "callers", p.EntrySettings.Listen.Callers, "peers", p.EntrySettings.Listen.Peers,
+				"store", p.EntrySettings.Store, "memory_mb", p.EntrySettings.MemoryMB)
 			return nil
 		},
 		OnStop: func(context.Context) error {
@@ -193,24 +193,24 @@
 	})
 }
 
-// drain ends an entry's work without cutting off a request: it says that it
-// is not ready, makes each answer the last on its connection, takes what will be
-// answered in time, and waits for it.
-func (p parts) drain(callers *listen.Listener) {
+// drain shuts the entry down gracefully: it reports not ready, makes each answer
+// close its connection, admits only requests that will be answered in time, and
+// waits for them.
+func (p serverParams) drain(callers *listen.Listener) {
 	p.Log.Info("edge: stopping; serving on until callers are elsewhere.", "in_flight", p.Gate.InFlight())
-	p.Gate.Drain(stages(p.Set.Bounds.Grace()), callers.CloseIdle)
+	p.Gate.Drain(drainTimes(p.EntrySettings.Bounds.Grace()), callers.CloseIdle)
 	inFlight := p.Gate.InFlight()
-	busy := callers.Close(closing)
+	busy := callers.Close(closeTimeout)
 	took, _ := p.Gate.Since()
 	p.Log.Info("edge: stopped.", "in_flight", inFlight, "busy_connections", busy, "took_ms", took.Milliseconds())
 }
 
-// stages are those of a stop that has so long until the kill. Streams go on as long as
-// can be.
-func stages(grace time.Duration) drain.Times {
+// drainTimes returns the times of a shutdown that must end within grace. Streams may
+// run as long as possible.
+func drainTimes(grace time.Duration) drain.Times {
 	return drain.Times{
-		TakesAll: min(takesAll, grace/3),
+		TakesAll: min(acceptAllFor, grace/3),
 		Stays:    min(drain.LookAway, grace/2),
-		End:      max(0, grace-drain.LastAnswers-closing-exitTakes),
+		End:      max(0, grace-drain.LastAnswers-closeTimeout-exitAllowance),
 	}
 }
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -18,59 +18,61 @@
 	Instance string `yaml:"instance"`
 	Domain   string `yaml:"domain"` // failure domain
 	Listen   Listen `yaml:"listen"`
-	// Seeds are where other entries may serve their peers; they may be stale.
+	// Seeds are addresses at which other entries may serve their peers; they may be
+	// stale.
 	Seeds []string `yaml:"seeds"`
-	// Store is host:port of the platform's store.
+	// Store is the address of the platform's store, host:port.
 	Store string `yaml:"store"`
-	// MemoryMB is what the process may use before it is killed.
+	// MemoryMB is the memory limit of the process, which is killed above it.
 	MemoryMB int    `yaml:"memory_mb"`
 	Bounds   Bounds `yaml:"bounds"`
 }
 
-// Listen are the addresses that an entry serves, host:port.
+// Listen holds the addresses that an entry listens on, host:port.
 type Listen struct {
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
-	// Peers serves other entries, and the state dump.
+	// Peers serves other entries and the state dump.
 	Peers string `yaml:"peers"`
-	// Loads takes other entries' datagrams on load.
+	// Loads receives other entries' load datagrams.
 	Loads string `yaml:"loads"`
-	// Metrics; empty: they are served with the peers only.
+	// Metrics serves metrics; empty: they are served at Peers only.
 	Metrics string `yaml:"metrics"`
 }
 
-// Bounds are what the operators ask for.
+// Bounds are the operators' requirements.
 type Bounds struct {
-	// LeavingMS is how long after its leaving was announced an endpoint may
-	// still get requests.
+	// LeavingMS is how long an endpoint may still get requests after it announced
+	// that it is leaving.
 	LeavingMS int `yaml:"leaving_ms"`
 	// GraceS is the time between SIGTERM and SIGKILL.
 	GraceS float64 `yaml:"grace_s"`
-	// SessionS is how long after its last request a session goes on.
+	// SessionS is how long a session lasts after its last request.
 	SessionS float64 `yaml:"session_s"`
-	// Repeats of requests, of all entries together in a window: a ratio of the
-	// requests, and some besides.
+	// The retry budget of all entries together within a window: RepeatRatio of the
+	// requests plus RepeatExtra.
 	RepeatRatio   float64 `yaml:"repeat_ratio"`
 	RepeatExtra   float64 `yaml:"repeat_extra"`
 	RepeatWindowS float64 `yaml:"repeat_window_s"`
-	// What a bad version may get of its service's requests: a share of those
-	// between the order and the end of its time, and some besides.
+	// The number of its service's requests that a bad version may get: ExposureShare
+	// of those between the start and the end of its roll-out, plus ExposureSlack.
 	ExposureShare float64 `yaml:"exposure_share"`
 	ExposureSlack float64 `yaml:"exposure_slack"`
-	// HaltWithinMS is how long after a version was proven bad it may get requests.
+	// HaltWithinMS is how long a version may still get requests after it was proven
+	// bad.
 	HaltWithinMS int `yaml:"halt_within_ms"`
 }
 
-// Grace is GraceS as a duration.
+// Grace returns GraceS as a duration.
 func (b Bounds) Grace() time.Duration { return time.Duration(b.GraceS * float64(time.Second)) }
 
-// defaults hold where a setting is left out; the bounds are those of the
-// users' platform today.
+// defaults returns the values of omitted settings; the bounds are those of the
+// users' platform.
 func defaults() *Settings {
 	return &Settings{MemoryMB: 128, Bounds: Bounds{LeavingMS: 2000, GraceS: 8, SessionS: 5, RepeatRatio: 0.5, RepeatExtra: 20, RepeatWindowS: 10, ExposureShare: 0.1, ExposureSlack: 20, HaltWithinMS: 5000}}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -83,7 +85,7 @@
 	return s, nil
 }
 
-// Parse reads and checks settings. All findings are reported together.
+// Parse decodes and validates settings. All errors are reported together.
 func Parse(raw []byte) (*Settings, error) {
 	s := defaults()
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `
+const validSettings = `
 instance: front-1
 domain: hall-a
 listen: {callers: "127.0.0.1:1", readiness: "127.0.0.1:2", peers: "127.0.0.1:3", loads: "127.0.0.1:4"}
@@ -18,9 +18,9 @@
 bounds: {leaving_ms: 2000, grace_s: 8, session_s: 5, repeat_ratio: 0.9, repeat_extra: 56, repeat_window_s: 10}
 `
 
-func TestSettingsAreRead(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Instance, "front-1")
 	is.Equal(s.Bounds.Grace(), 8*time.Second)
@@ -28,8 +28,8 @@
 	is.Equal(lapsedFor(s), 1400*time.Millisecond)
 }
 
-// Findings are reported together, each with its path.
-func TestSettingsFindingsAreReportedTogether(t *testing.T) {
+// All errors are reported together, each with the path of its setting.
+func TestParseReportsAllFindings(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`
 listen: {callers: "nowhere", readiness: "127.0.0.1:2", peers: "127.0.0.1:3", loads: "127.0.0.1:4"}
@@ -46,21 +46,21 @@
 	}
 }
 
-// A setting that is misspelt is a finding, not left out silently.
-func TestAnUnknownSettingIsAFinding(t *testing.T) {
+// A misspelt setting is an error and is not silently ignored.
+func TestParseRejectsUnknownSetting(t *testing.T) {
 	is := is.New(t)
-	_, err := Parse([]byte(good + "memory: 5\n"))
+	_, err := Parse([]byte(validSettings + "memory: 5\n"))
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "memory"))
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("listen: 5"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Parse(raw)
 		if err == nil && (s.Instance == "" || s.Bounds.GraceS <= 0) {
-			t.Fatalf("taken: %+v", s)
+			t.Fatalf("invalid settings accepted: %+v", s)
 		}
 	})
 }
