--- a/call/call.go
+++ b/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds what an entry knows of one request and of its answers,
-// whatever they look like on the wire.
+// Package call defines the metadata of a request and of its responses,
+// independent of how they are encoded on the wire.
 package call
 
 import (
@@ -7,43 +7,44 @@
 	"time"
 )
 
-// Usage is how many tokens a request reads and at most generates.
+// Usage is the size of a request in tokens: its prompt, and the most that it
+// may generate.
 type Usage struct {
 	Prompt int
 	Output int
 }
 
-// PromptPart is one part of a prompt, in order; equal ids are equal text.
+// PromptPart is one segment of a prompt. Segments with equal ids have equal text.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Facts are what a caller says of its request.
+// Facts is the metadata that a caller sends with its request.
 type Facts struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Remaining is how long the caller waits from now; zero: it did not say.
+	// Remaining is the time left until the caller's deadline; 0: none given.
 	Remaining time.Duration
 	// Key is the API key.
 	Key string
-	// Model is the model asked for; AnyModel leaves the choice to us.
+	// Model is the requested model; with AnyModel the entry chooses one.
 	Model   string
 	Usage   Usage
 	Prompt  []PromptPart
 	Session string
-	// ResumeAfter is the id of the last event that the caller has of its
-	// stream; empty: it wants the stream from the start.
+	// ResumeAfter is the id of the last stream event that the caller received;
+	// empty: the stream starts from the beginning.
 	ResumeAfter string
-	// LengthHint is the caller's guess of the tokens generated; 0: none.
+	// LengthHint is the caller's estimate of the generated tokens; 0: none.
 	LengthHint int
 }
 
-// AnyModel as a request's model lets the system choose.
+// AnyModel as the requested model lets the entry choose.
 const AnyModel = "*"
 
-// SharedPrompt is the prompt without its last part, which is the request's
-// own.
+// SharedPrompt returns the prompt without its last part, which is specific to
+// the request.
 func (f *Facts) SharedPrompt() []PromptPart {
 	if len(f.Prompt) == 0 {
 		return nil
@@ -51,7 +52,7 @@
 	return f.Prompt[:len(f.Prompt)-1]
 }
 
-// SharedTokens is how many tokens the shared prompt has.
+// SharedTokens returns the number of tokens in the shared prompt.
 func (f *Facts) SharedTokens() int {
 	n := 0
 	for _, p := range f.SharedPrompt() {
@@ -60,65 +61,65 @@
 	return n
 }
 
-// Directions are what an entry tells an endpoint with a request.
+// Directions is the metadata that an entry adds to a request for an endpoint.
 type Directions struct {
-	Endpoint  string // the incarnation that may run it
+	Endpoint  string // the only incarnation that may run the request
 	Remaining time.Duration
 	Customer  string
-	Model     string // instead of AnyModel; empty: as the caller sent it
-	// ResumeAfter as in Facts.
+	Model     string // replaces AnyModel; empty: the model that the caller sent
+	// ResumeAfter has the meaning of Facts.ResumeAfter.
 	ResumeAfter string
-	// Urgency is from 0, the first, to 9.
+	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// SetUrgency is set where Urgency is to be told.
+	// SetUrgency reports whether Urgency is sent.
 	SetUrgency bool
 }
 
-// Load is an endpoint's load as it told it.
+// Load is the load that an endpoint reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Answer is what the head of an endpoint's answer says.
+// Answer is the metadata in the head of an endpoint's response.
 type Answer struct {
 	Status int
-	// NotRun: the endpoint says that it did not run the request and will not.
+	// NotRun: the endpoint did not run the request and will not.
 	NotRun bool
-	// WrongEndpoint: another incarnation has the address.
+	// WrongEndpoint: another incarnation serves at the address.
 	WrongEndpoint bool
-	// Sealed: the endpoint vouches for the answer; without it no success
-	// counts.
+	// Sealed: the response carries the endpoint's seal. A success without it
+	// is not accepted.
 	Sealed bool
-	// ID is the attempt that is answered; empty: it is not said.
+	// ID is the id of the attempt that is answered; empty: not given.
 	ID string
-	// Load is nil where it is not said.
+	// Load is nil if the endpoint does not report it.
 	Load *Load
-	// Leaving: the endpoint takes no further request on the connection.
+	// Leaving: the endpoint accepts no further request on the connection.
 	Leaving bool
-	// Limit is how many requests a second the endpoint takes from all entries together;
-	// 0: it names no limit.
+	// Limit is how many requests a second the endpoint accepts from all entries
+	// together; 0: unlimited.
 	Limit float64
-	// Confidence is the model's own opinion of its answer, 0 to 100; -1: not
-	// said.
+	// Confidence is the model's own rating of its answer, 0 to 100; -1: not
+	// given.
 	Confidence int
 }
 
-// Success reports whether the request was answered with a 2xx.
+// Success reports whether the status is 2xx.
 func (a *Answer) Success() bool { return a.Status/100 == 2 }
 
-// Wire reads and writes the headers of requests and answers; the platform's
-// adapter implements it.
+// Wire decodes and encodes the headers of requests and responses; the
+// platform's adapter implements it.
 type Wire interface {
-	// Request reads what a caller says.
+	// Request decodes the headers of a caller's request.
 	Request(h http.Header) Facts
 	// Forward returns the headers to send to an endpoint.
 	Forward(from http.Header, d Directions) http.Header
-	// Answer reads what an endpoint says.
+	// Answer decodes the status and headers of an endpoint's response.
 	Answer(status int, h http.Header) Answer
-	// Returned returns the headers to give to the caller.
+	// Returned returns the headers to send to the caller.
 	Returned(from http.Header) http.Header
-	// RetryAfter tells a caller when to come back.
+	// RetryAfter sets the header that tells a caller when to retry.
 	RetryAfter(h http.Header, after time.Duration)
-	// EventID reads the id from a line of an event of a stream.
+	// EventID extracts the id from a line of a stream event.
 	EventID(line []byte) (id []byte, ok bool)
 }
