--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -193,7 +193,7 @@
 	c.watch = x.watch(c, cancel)
 	c.hold = s.Quarantine.Hold(x.fingerprint, cancel)
 	resp, err := upstream.Send(ctx, &upstream.Request{Address: ep.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectWithin: x.connectWithin()})
+		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectWithin()})
 	if err != nil {
 		return c, nil, x.failedSend(ctx, c, err)
 	}
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,9 +1,10 @@
-// Package upstream calls endpoints over HTTP/1.1, one connection a call.
+// Package upstream calls endpoints over HTTP/1.1, with a new connection for each
+// call.
 //
-// A kept connection would save its opening, about a millisecond, and cost
-// certainty: an endpoint may close it as a request is on its way, when nobody
-// can tell whether that ran; and what a broken endpoint sends after an answer
-// (a second answer, stray bytes) would be read as the next one's. On a
-// connection of its own neither can happen, closing it ends the endpoint's
-// work, and nothing is sent twice by a transport that means well.
+// Reusing connections would save about a millisecond a call, but an endpoint may
+// close an idle connection while a request is on its way, and then it is unknown
+// whether the request ran. Bytes that a faulty endpoint sends after a response (a
+// second response, stray bytes) would also be read as part of the next one. With
+// one connection a call neither can happen, closing the connection ends the
+// endpoint's work, and no transport retries a request on its own.
 package upstream
--- a/upstream/probes.go
+++ b/upstream/probes.go
@@ -10,45 +10,45 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// endsWithin is how long a process that is ending may still accept connections.
-const endsWithin = 30 * time.Millisecond
+// exitWindow is how long an exiting process may still accept connections.
+const exitWindow = 30 * time.Millisecond
 
-// probeEvery paces the probes of an endpoint that loses them.
-const probeEvery = time.Millisecond
+// probeInterval is the pause between probes of an endpoint that drops them.
+const probeInterval = time.Millisecond
 
-// Probes tells whether endpoints whose connections broke have ended. All that ask of one
-// at the same time share a connection. The zero value is ready.
+// Probes checks whether endpoints whose connections broke have exited. Concurrent checks
+// of an endpoint share one probe. The zero value is ready to use.
 type Probes struct {
-	// Within is how long an endpoint that accepts a connection is watched for its end;
+	// Window is how long an endpoint that accepts connections is probed for its exit;
 	// 0: endsWithin.
-	Within  time.Duration
-	running singleflight.Group
+	Window time.Duration
+	probes singleflight.Group
 }
 
 // Ended reports whether nothing listens at an address any more. An endpoint that only lost
-// a connection accepts another and keeps it; one that is cut off answers nothing, and may
-// be well.
+// a connection accepts another one and keeps it open. One that is partitioned does not
+// answer, may be healthy, and is not reported.
 func (p *Probes) Ended(address string) bool {
-	ended, _, _ := p.running.Do(address, func() (any, error) { return p.probe(address), nil })
+	ended, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
 	return ended.(bool)
 }
 
-// probe connects until the endpoint refuses or keeps a connection: when a process ends, its
-// connections are closed before its listener.
+// probe connects until the endpoint refuses a connection or keeps one open. It tries more
+// than once because an exiting process closes its connections before its listener.
 func (p *Probes) probe(address string) bool {
-	within := p.Within
-	if within == 0 {
-		within = endsWithin
+	window := p.Window
+	if window == 0 {
+		window = exitWindow
 	}
-	until := time.Now().Add(within)
-	for ; ; time.Sleep(probeEvery) {
+	until := time.Now().Add(window)
+	for ; ; time.Sleep(probeInterval) {
 		conn, err := dialer.Dial("tcp", address)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return true
 		case err != nil && !errors.Is(err, syscall.ECONNRESET):
 			return false
-		case err == nil && keeps(conn, until):
+		case err == nil && staysOpen(conn, until):
 			return false
 		}
 		if !time.Now().Before(until) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// keeps reports whether the endpoint keeps a connection until then.
-func keeps(conn net.Conn, until time.Time) bool {
+// staysOpen reports whether the endpoint keeps a connection open until the given time.
+func staysOpen(conn net.Conn, until time.Time) bool {
 	defer func() { _ = conn.Close() }()
 	if err := conn.SetReadDeadline(until); err != nil {
 		return false
--- a/upstream/probes_test.go
+++ b/upstream/probes_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a crash taken for a lost connection, as a process that ends still accepts connections for a moment.
-func TestProbesTellAnEndpointThatIsEnding(t *testing.T) {
+// Guards against a crash being taken for a lost connection: an exiting process still accepts connections for a moment.
+func TestProbesDetectAnExitingEndpoint(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -21,12 +21,12 @@
 		_ = ln.Close()
 		_ = conn.Close()
 	}()
-	probes := Probes{Within: time.Minute}
+	probes := Probes{Window: time.Minute}
 	is.True(probes.Ended(ln.Addr().String()))
 }
 
-// Guards against the loss of a connection taken for a crash.
-func TestProbesTellAnEndpointThatOnlyLostAConnection(t *testing.T) {
+// Guards against a lost connection being taken for a crash.
+func TestProbesIgnoreALostConnection(t *testing.T) {
 	for name, keep := range map[string]bool{"keeps the next one": true, "loses the next one too": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -46,7 +46,7 @@
 					_ = conn.Close()
 				}
 			}()
-			probes := Probes{Within: 10 * time.Millisecond}
+			probes := Probes{Window: 10 * time.Millisecond}
 			is.True(!probes.Ended(ln.Addr().String()))
 		})
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -14,56 +14,58 @@
 	"time"
 )
 
-// Bounds of a call.
+// Limits of a call.
 const (
-	// DialTimeout bounds the opening of a connection: endpoints are a
-	// millisecond or two away, and one behind a partition answers nothing. A
-	// packet that is lost is sent again after a second: too late in any case.
+	// DialTimeout bounds the time to connect. Endpoints are a millisecond or two
+	// away, and one behind a partition does not answer. A lost SYN is
+	// retransmitted after a second, which is too late in any case.
 	DialTimeout = 200 * time.Millisecond
-	// inlineBody is the largest body that is written before the answer is
-	// read: what a connection's buffers take without its reader.
-	inlineBody = 16 << 10
-	readBuffer = 4 << 10
-	// mostInformational is how many 1xx answers are passed over.
-	mostInformational = 8
+	// maxInlineBody is the largest body that is written before the response is
+	// read: it fits into the connection's buffers even if the endpoint does not
+	// read.
+	maxInlineBody = 16 << 10
+	readBuffer    = 4 << 10
+	// maxInformational bounds the 1xx responses that are skipped.
+	maxInformational = 8
 )
 
-// Errors of a call. After NotSentError nothing of the request reached the
-// endpoint; after any other it may have run.
+// NotSentError reports that nothing of the request reached the endpoint. After
+// any other error of a call the request may have run.
 type NotSentError struct{ Err error }
 
 func (e *NotSentError) Error() string { return "not sent: " + e.Err.Error() }
 
-// Unwrap returns what kept the request from being sent.
+// Unwrap returns the error that prevented the request from being sent.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
 // Request is one request to one endpoint.
 type Request struct {
 	Address string // IP:port
 	Method  string
-	Target  string // path and query, as the caller sent them
+	Target  string // path and query, unchanged from the caller's request
 	Host    string
 	Header  http.Header // without Host and Content-Length
 	Body    []byte
-	HasBody bool // a length is told even if it is 0
-	// ConnectWithin is how long the endpoint may take to accept the connection;
-	// 0: DialTimeout.
-	ConnectWithin time.Duration
+	HasBody bool // Content-Length is sent even if it is 0
+	// ConnectTimeout bounds the time to connect; 0, or more than DialTimeout:
+	// DialTimeout.
+	ConnectTimeout time.Duration
 }
 
-// Response is an answer whose body is still to be read. Close must be called.
+// Response is a response whose body has not been read. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length; -1: not known beforehand.
+	// Length is the length of the body; -1: unknown.
 	Length int64
 	Body   io.Reader
-	// Framed: the end of the body is marked; else it is the connection's.
+	// Framed reports whether the body has a length or is chunked; otherwise it
+	// ends when the connection closes.
 	Framed bool
 	conn   *Conn
 }
 
-// Close ends the call.
+// Close closes the connection, which ends the call.
 func (r *Response) Close() { r.conn.Close() }
 
 // Conn is the connection of one call; closing it ends the call.
@@ -72,7 +74,7 @@
 	closed atomic.Bool
 }
 
-// Close closes the connection once.
+// Close closes the connection; further calls do nothing.
 func (c *Conn) Close() error {
 	if c.closed.Swap(true) {
 		return nil
@@ -82,8 +84,8 @@
 
 var dialer = &net.Dialer{Timeout: DialTimeout, KeepAlive: -1}
 
-// Send sends a request and reads the head of its answer. The call ends when
-// ctx does.
+// Send sends a request and reads the head of its response. The call ends when
+// ctx is done.
 func Send(ctx context.Context, r *Request) (*Response, error) {
 	raw, err := connect(ctx, r)
 	if err != nil {
@@ -104,24 +106,24 @@
 }
 
 func connect(ctx context.Context, r *Request) (net.Conn, error) {
-	if r.ConnectWithin <= 0 || r.ConnectWithin >= DialTimeout {
+	if r.ConnectTimeout <= 0 || r.ConnectTimeout >= DialTimeout {
 		return dialer.DialContext(ctx, "tcp", r.Address)
 	}
 	d := *dialer
-	d.Timeout = r.ConnectWithin
+	d.Timeout = r.ConnectTimeout
 	return d.DialContext(ctx, "tcp", r.Address)
 }
 
 func exchange(conn *Conn, r *Request) (*Response, error) {
 	head := encodeHead(r)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		if _, err := conn.Write(append(head, r.Body...)); err != nil {
 			return nil, err
 		}
 	} else {
-		// An endpoint may answer before it has read a long body, and read on
-		// later: the body goes out beside the reading of the answer, or both
-		// ends would wait for each other.
+		// An endpoint may respond before it has read all of a long body. The body
+		// is written concurrently with reading the response, or both sides could
+		// wait for each other.
 		go writeLong(conn, head, r.Body)
 	}
 	return readHead(conn, r.Method)
@@ -129,7 +131,7 @@
 
 func writeLong(conn *Conn, head, body []byte) {
 	if _, err := conn.Write(head); err != nil {
-		return // the reader of the answer sees the same end of the connection
+		return // reading the response meets the same closed connection
 	}
 	_, _ = conn.Write(body) // likewise
 }
@@ -138,7 +140,7 @@
 	var b bytes.Buffer
 	b.Grow(1024)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	_ = r.Header.Write(&b) // a buffer takes all
+	_ = r.Header.Write(&b) // writing to a buffer cannot fail
 	if r.HasBody || len(r.Body) > 0 {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
@@ -150,9 +152,9 @@
 
 func readHead(conn *Conn, method string) (*Response, error) {
 	br := bufio.NewReaderSize(conn, readBuffer)
-	asked := &http.Request{Method: method}
-	for range mostInformational {
-		resp, err := http.ReadResponse(br, asked)
+	req := &http.Request{Method: method}
+	for range maxInformational {
+		resp, err := http.ReadResponse(br, req)
 		if err != nil {
 			return nil, err
 		}
@@ -165,8 +167,8 @@
 	return nil, errors.New("too many informational answers")
 }
 
-// Check opens a connection to an endpoint and closes it: one that is dead or
-// cut off accepts none.
+// Check opens a connection to an endpoint and closes it again. It fails if the
+// endpoint is dead or partitioned.
 func Check(address string) error {
 	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,9 +15,9 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// answering accepts connections and writes text after each request's head;
-// it returns its address and the count of requests by their first lines.
-func answering(t *testing.T, text string) (string, chan string) {
+// serveText accepts connections and writes text in response to each request. It
+// returns its address and a channel of the requests: method, target, host, body.
+func serveText(t *testing.T, text string) (string, chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,22 +50,22 @@
 	return &upstream.Request{Address: address, Method: http.MethodPost, Target: "/a%2Fb?x=1", Host: "h.example", Header: http.Header{"X-A": {"1"}}, Body: []byte("body")}
 }
 
-func TestARequestGoesOutAsItIs(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	is := is.New(t)
-	address, requests := answering(t, "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	address, requests := serveText(t, "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	resp, err := upstream.Send(context.Background(), request(address))
 	is.NoErr(err)
 	defer resp.Close()
 	is.Equal(<-requests, "POST /a%2Fb?x=1 h.example body")
-	is.Equal(resp.Status, http.StatusOK) // the informational answer is passed over
+	is.Equal(resp.Status, http.StatusOK) // the informational response is skipped
 	is.True(resp.Framed)
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
 	is.Equal(string(body), "ok")
 }
 
-// Only a request of which nothing went out is known not to have run.
-func TestNotSentIsToldApart(t *testing.T) {
+// Only a request of which nothing was sent is known not to have run.
+func TestNotSentErrorIsDistinguished(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -76,22 +76,22 @@
 	is.True(errors.As(err, &notSent))
 	is.True(upstream.Check(address) != nil)
 
-	address, requests := answering(t, "")
+	address, requests := serveText(t, "")
 	_, err = upstream.Send(context.Background(), request(address))
 	is.True(err != nil)
 	is.True(!errors.As(err, &notSent))
-	is.Equal(len(requests), 1) // and it is not sent again by itself
+	is.Equal(len(requests), 1) // it is not retried by the transport
 	is.NoErr(upstream.Check(address))
 }
 
-// Symptom: half an answer is taken for a whole one.
-func TestAnAnswerCutShortIsAnError(t *testing.T) {
+// Guards against a truncated response being taken for a complete one.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		is := is.New(t)
-		address, _ := answering(t, text)
+		address, _ := serveText(t, text)
 		resp, err := upstream.Send(context.Background(), request(address))
 		is.NoErr(err)
 		_, err = io.ReadAll(resp.Body)
@@ -100,14 +100,14 @@
 	}
 }
 
-func TestBytesThatAreNoAnswerAreAnError(t *testing.T) {
+func TestInvalidResponseIsAnError(t *testing.T) {
 	is := is.New(t)
-	address, _ := answering(t, "hello\r\n\r\n")
+	address, _ := serveText(t, "hello\r\n\r\n")
 	_, err := upstream.Send(context.Background(), request(address))
 	is.True(err != nil)
 }
 
-// The end of the context ends the call, also while an endpoint says nothing.
+// Cancelling the context ends the call even while the endpoint is silent.
 func TestACallEndsWithItsContext(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,14 +127,14 @@
 	is.True(errors.Is(err, context.Canceled))
 }
 
-// FuzzAnswer: whatever an endpoint sends, reading it ends and breaks nothing.
+// FuzzAnswer checks that reading any bytes from an endpoint terminates without a panic.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	f.Add([]byte("\x00\xff"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		resp, err := upstream.ReadHead(&feed{raw: raw}, http.MethodGet)
+		resp, err := upstream.ReadHead(&bytesConn{raw: raw}, http.MethodGet)
 		if err != nil {
 			return
 		}
@@ -143,13 +143,13 @@
 	})
 }
 
-// feed is a connection that holds some bytes.
-type feed struct {
+// bytesConn is a connection that reads from a byte slice.
+type bytesConn struct {
 	net.Conn
 	raw []byte
 }
 
-func (f *feed) Read(p []byte) (int, error) {
+func (f *bytesConn) Read(p []byte) (int, error) {
 	if len(f.raw) == 0 {
 		return 0, io.EOF
 	}
@@ -158,17 +158,17 @@
 	return n, nil
 }
 
-func (f *feed) Close() error { return nil }
+func (f *bytesConn) Close() error { return nil }
 
-// Symptom: a short call to an endpoint that is cut off is late, though another
-// could have taken it.
-// Cause: the time to connect was the same for all calls. One that is not given
-// any is not sent, and known not to have run.
-func TestACallConnectsWithinItsOwnTime(t *testing.T) {
+// Guards against a short call being late because it waits too long to connect to a
+// partitioned endpoint while another one could have served it: the time to connect
+// used to be the same for all calls. A call that does not connect in its time is not
+// sent, and is known not to have run.
+func TestCallHasItsOwnConnectTimeout(t *testing.T) {
 	is := is.New(t)
-	address, requests := answering(t, "")
+	address, requests := serveText(t, "")
 	r := request(address)
-	r.ConnectWithin = time.Nanosecond
+	r.ConnectTimeout = time.Nanosecond
 	_, err := upstream.Send(context.Background(), r)
 	var notSent *upstream.NotSentError
 	is.True(errors.As(err, &notSent))
