--- a/ingress/admission_test.go
+++ b/ingress/admission_test.go
@@ -14,12 +14,11 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// Symptom: after a start, callers are told that their routes do not exist.
-// Events: a request comes before the entry has read the configuration.
-// An entry that knows nothing says that it cannot tell now, never 404 or 401.
-func TestBeforeAConfigurationNothingIsDenied(t *testing.T) {
+// Guards against an entry that has not yet read the configuration answering 404 or 401
+// after a start. It answers 503 with Retry-After.
+func TestNothingIsDeniedBeforeTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	is.True(!w.server.Ready())
 	a := w.do(http.MethodGet, "/get/x", "")
 	is.Equal(a.status, http.StatusServiceUnavailable)
@@ -27,7 +26,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	tests := []struct {
 		name, path, key string
 		status          int
@@ -49,16 +48,16 @@
 
 func TestABodyBeyondTheLimitIsRefused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	is.Equal(w.do(http.MethodPost, "/post/x", strings.Repeat("b", 65<<10)).status, http.StatusRequestEntityTooLarge)
 	is.Equal(len(w.runs()), 0)
 }
 
-// Symptom: a caller acts for another customer, or reserves engines' memory.
-// Events: it sends headers that only the system sets; its key goes no further.
-func TestWhatOnlyTheSystemSetsIsNotTakenFromCallers(t *testing.T) {
+// Guards against a caller acting for another customer, or reserving engine memory, by
+// sending headers that only the system sets. Its key is not forwarded.
+func TestSystemHeadersFromCallersAreDropped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	var got http.Header
 	w.engines[0].FaultOf = func(r *http.Request) platformtest.Fault {
 		got = r.Header.Clone()
@@ -79,23 +78,22 @@
 	is.Equal(got.Get("X-Attempt-Id"), "a1")
 }
 
-// An endpoint is told what is left, never more than the route allows.
+// An endpoint gets the remaining time, at most the route's timeout.
 func TestTheDeadlineIsPassedOn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.do(http.MethodPost, "/quick/x", "body", "X-Deadline-Remaining", "60000").whole(is)
 	left := w.runs()[0].Remaining
 	is.True(left > 0)
 	is.True(left.Milliseconds() <= 300) // the route's timeout
 }
 
-// Symptom: a flood of requests takes the process's memory, and it is killed
-// with all that it serves.
-// Events: more requests wait at endpoints than the entry holds at a time.
-// Those beyond are refused at once; as soon as some end, others are served.
-func TestAFloodIsRefusedBeyondTheBound(t *testing.T) {
+// Guards against a flood of requests exhausting the memory of the process, so that it
+// is killed with all that it serves. Requests beyond MaxInFlight are refused at once;
+// when some have ended, others are served.
+func TestRequestsBeyondMaxInFlightAreRefused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(slices.Repeat([]platformtest.Fault{platformtest.Hang}, 20)...)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -120,10 +118,10 @@
 	w.do(http.MethodPost, "/post/x", "body").whole(is)
 }
 
-// A body whose length nobody has told is bounded all the same.
+// A body of unknown length is bounded as well.
 func TestAChunkedBodyBeyondTheLimitIsRefused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	req := w.request(http.MethodPost, "/post/x", "")
 	req.Body = io.NopCloser(io.LimitReader(zeros{}, 1<<20))
 	req.ContentLength = -1
@@ -139,14 +137,12 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// Symptom: callers that come right after all entries were killed are refused,
-// and do not come again.
-// Events: an entry listens before it has read the configuration; a request
-// comes in between.
-// It waits for the configuration, which is there within milliseconds.
+// Guards against refusing callers that retry right after all entries were killed, and
+// retry only once. The entry listens before it has read the configuration; a request
+// that comes in between waits for it, which takes milliseconds.
 func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	w.put("op/config", platformtest.EncodeConfig(testConfig()))
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1"})
 	answered := make(chan answer)
--- a/ingress/whole.go
+++ b/ingress/buffered.go
@@ -12,13 +12,13 @@
 	"github.com/lovageweir/lovageweir/retry"
 )
 
-// mostAnswer bounds an answer that is kept whole before it is returned.
-const mostAnswer = 8 << 20
+// maxAnswerBytes bounds an answer that is buffered before it is returned.
+const maxAnswerBytes = 8 << 20
 
-// runWhole answers a request whose answer is no stream. The answer is read
-// whole before any of it is returned, so that one that breaks off can be
+// runBuffered answers a request whose answer is not a stream. The answer is buffered
+// completely before any of it is returned, so that one that breaks off can be
 // replaced by another endpoint's.
-func (x *exchange) runWhole(ctx context.Context) {
+func (x *exchange) runBuffered(ctx context.Context) {
 	for {
 		c, ref, err := x.send(ctx, "")
 		if ref != nil {
@@ -26,19 +26,19 @@
 			return
 		}
 		if err == nil {
-			err = x.tryReturn(ctx, c)
+			err = x.relayAnswer(ctx, c)
 		}
-		if err == nil || !x.again(ctx, err) {
+		if err == nil || !x.shouldRetry(ctx, err) {
 			return
 		}
 	}
 }
 
-// again decides after a send that gave no answer to return: true tries
-// another endpoint; false, the caller has its answer.
-func (x *exchange) again(ctx context.Context, err error) bool {
+// shouldRetry reports whether to send the request again after a send that gave no
+// answer to return. If not, the request has been refused or its caller has left.
+func (x *exchange) shouldRetry(ctx context.Context, err error) bool {
 	switch {
-	case cut(ctx):
+	case cutByStop(ctx):
 		x.giveUpAtStop()
 		return false
 	case x.r.Context().Err() != nil:
@@ -47,29 +47,29 @@
 	case errors.Is(err, errRetry):
 		return true
 	case errors.Is(err, errNotSent):
-		if x.mayReachElsewhere() {
+		if x.mayRetryUnsent() {
 			return true
 		}
 		x.giveUp(refuseNoEndpoint)
 		return false
 	case errors.Is(err, errNotRun):
-		if x.mayTryElsewhere() {
+		if x.mayRetryRefused() {
 			return true
 		}
-		x.giveUp(refuseFull)
+		x.giveUp(refuseEndpointsFull)
 		return false
 	case errors.Is(err, errDeadline) || errors.Is(context.Cause(ctx), errDeadline):
 		x.refuse(failDeadline)
 		return false
-	case !errors.Is(err, errQuarantined) && x.mayTryAgain(retry.ForFailure):
+	case !errors.Is(err, errQuarantined) && x.mayRetry(retry.ForFailure):
 		return true
 	}
 	x.refuse(failBroken)
 	return false
 }
 
-// giveUp answers when there is no endpoint to try. The refusal holds only if
-// no send may have run, or the request may repeat.
+// giveUp responds when there is no endpoint left to try. The refusal is replaced by
+// a failure if a send may have run.
 func (x *exchange) giveUp(ref *refusal) {
 	if x.runs > 0 {
 		ref = failBroken
@@ -77,7 +77,7 @@
 	x.refuse(ref)
 }
 
-// giveUpAtStop answers a request that the end of a planned stop has cut off.
+// giveUpAtStop responds to a request that is cut off by the end of a planned stop.
 func (x *exchange) giveUpAtStop() {
 	if x.runs > 0 {
 		x.refuse(failStopped)
@@ -86,17 +86,18 @@
 	x.refuse(refuseStopping)
 }
 
-// tryReturn reads the answer and returns it, if it is one to return.
-func (x *exchange) tryReturn(ctx context.Context, c *sent) error {
-	if err := x.notRun(c); err != nil {
+// relayAnswer reads the answer and returns it to the caller, unless the request is to
+// be sent again.
+func (x *exchange) relayAnswer(ctx context.Context, c *upstreamCall) error {
+	if err := x.endIfNotRun(c); err != nil {
 		return err
 	}
 	x.runs++
 	body, err := x.readAnswer(c)
 	took := c.ticket.First()
-	if err != nil && cut(ctx) {
+	if err != nil && cutByStop(ctx) {
 		x.end(c, place.Abandoned, "entry stops")
-		return errCut
+		return errCutByStop
 	}
 	if err != nil && c.hold.Stopped() {
 		x.end(c, place.Abandoned, "quarantined")
@@ -107,14 +108,14 @@
 		x.noteCrash(c, quarantine.Started)
 		return errMayHaveRun
 	}
-	if x.foreign(c) {
+	if x.mismatched(c) {
 		x.end(c, place.Broken, "answer is not this request's")
 		return errMayHaveRun
 	}
 	failed := c.head.Status >= http.StatusInternalServerError
 	x.observe(c, failed, took)
 	if failed {
-		if x.left() > x.worthRepeating() && x.mayTryAgain(retry.ForFailure) {
+		if x.remaining() > x.minRetryTime() && x.mayRetry(retry.ForFailure) {
 			x.end(c, place.Failed, "endpoint failed")
 			return errRetry
 		}
@@ -124,20 +125,20 @@
 		x.server.Quarantine.Served(x.fingerprint)
 	}
 	x.outcome = "answered"
-	x.returnHead(c, int64(len(body)))
+	x.writeHead(c, int64(len(body)))
 	_, _ = x.w.Write(body) // a caller that left needs no answer
 	return nil
 }
 
-// errRetry: the send failed and its repeat is already paid for.
+// errRetry: the send failed and its retry is already taken from the budget.
 var errRetry = errors.New("another endpoint is tried")
 
-// worthRepeating is the least time left for which a failed answer is tried
-// again elsewhere.
-func (x *exchange) worthRepeating() time.Duration { return x.route.Objective / 4 }
+// minRetryTime is the least remaining time for which a failed request is sent to
+// another endpoint.
+func (x *exchange) minRetryTime() time.Duration { return x.route.Objective / 4 }
 
-// notRun ends an attempt that the endpoint says it did not run.
-func (x *exchange) notRun(c *sent) error {
+// endIfNotRun ends an attempt that the endpoint did not run, according to its response.
+func (x *exchange) endIfNotRun(c *upstreamCall) error {
 	switch {
 	case c.head.WrongEndpoint:
 		x.end(c, place.Misdirected, "another endpoint has the address")
@@ -149,18 +150,19 @@
 	return nil
 }
 
-// foreign reports whether an answer is not the endpoint's to this request.
-func (x *exchange) foreign(c *sent) bool {
+// mismatched reports whether an answer belongs to another attempt, or is a success
+// without the endpoint's seal.
+func (x *exchange) mismatched(c *upstreamCall) bool {
 	return c.head.ID != "" && c.head.ID != x.facts.ID || c.head.Success() && !c.head.Sealed
 }
 
-// readAnswer reads the body.
-func (x *exchange) readAnswer(c *sent) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(c.resp.Body, mostAnswer+1))
+// readAnswer reads the whole body.
+func (x *exchange) readAnswer(c *upstreamCall) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(c.resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > mostAnswer {
+	if len(body) > maxAnswerBytes {
 		return nil, errors.New("answer is too large")
 	}
 	return body, nil
--- a/ingress/fleet_test.go
+++ b/ingress/cluster_test.go
@@ -20,20 +20,20 @@
 	"github.com/lovageweir/lovageweir/rpc/meshpb"
 )
 
-// entries are several before the same engines, on one store.
-type entries struct {
+// cluster is several entries in front of the same engines, on one store.
+type cluster struct {
 	t      *testing.T
-	all    []*world
+	all    []*testEnv
 	meshes []*mesh.Mesh
 	sent   int // requests so far
 }
 
-func newEntries(t *testing.T, n int, clock clockwork.Clock) *entries {
+func newCluster(t *testing.T, n int, clock clockwork.Clock) *cluster {
 	t.Helper()
-	f := &entries{t: t}
+	f := &cluster{t: t}
 	store := memkv.New(clock)
 	for i := range n {
-		e := newEntryBefore(t, store, clock, fmt.Sprintf("i%d", i))
+		e := newEnvWithStore(t, store, clock, fmt.Sprintf("i%d", i))
 		f.all = append(f.all, e)
 		m := mesh.New(mesh.Deps{Fleet: e.fleet, Rollouts: e.orders, Quarantine: e.quarantine, Limits: e.limits, Clock: clock, Log: slog.New(slog.DiscardHandler)})
 		srv := httptest.NewServer(meshpb.NewMeshServer(m))
@@ -52,18 +52,18 @@
 	return f
 }
 
-// store is the platform's, which all entries know.
-func (f *entries) store() kv.Client { return f.all[0].kv }
+// store returns the store that all entries share.
+func (f *cluster) store() kv.Client { return f.all[0].kv }
 
-func (f *entries) put(key string, value []byte) {
+func (f *cluster) put(key string, value []byte) {
 	f.t.Helper()
 	if _, err := f.store().Put(context.Background(), key, value, 0); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// sync makes all entries know what the store holds.
-func (f *entries) sync() {
+// sync loads the content of the store into all entries.
+func (f *cluster) sync() {
 	f.t.Helper()
 	rev, items, err := f.store().Get(context.Background(), "", true)
 	if err != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// gossip lets each entry exchange with all others.
-func (f *entries) gossip() {
+// gossip makes each entry exchange its state with all others.
+func (f *cluster) gossip() {
 	for _, a := range f.meshes {
 		for _, b := range f.meshes {
 			if a != b {
@@ -89,8 +89,8 @@
 	}
 }
 
-// tell lets one entry tell the others its loads.
-func (f *entries) tell(entry int) {
+// broadcastLoads sends the loads that one entry knows to the others.
+func (f *cluster) broadcastLoads(entry int) {
 	f.t.Helper()
 	raw, _, err := f.all[entry].loads.Datagram()
 	if err != nil {
@@ -103,8 +103,9 @@
 	}
 }
 
-// tellLimits lets one entry tell the others what it sent to endpoints that name a limit.
-func (f *entries) tellLimits(entry int) {
+// broadcastLimits sends to the other entries how many requests one entry sent to endpoints
+// with a limit.
+func (f *cluster) broadcastLimits(entry int) {
 	f.t.Helper()
 	raw, err := f.all[entry].loads.LimitsDatagram()
 	if err != nil {
@@ -117,8 +118,8 @@
 	}
 }
 
-// send sends a request to an entry, under an id of its own.
-func (f *entries) send(entry int, path, body string) answer {
+// send sends a request with a new attempt id to an entry.
+func (f *cluster) send(entry int, path, body string) answer {
 	f.t.Helper()
 	f.sent++
 	return f.all[entry].do(http.MethodPost, path, body, "X-Attempt-Id", fmt.Sprintf("r%d", f.sent))
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -21,16 +21,16 @@
 
 const poison = "a body that crashes engines"
 
-// crashingFleet is several entries before engines that a poison request crashes.
+// crashingFleet is several entries in front of engines that a poison request crashes.
 type crashingFleet struct {
-	*entries
+	*cluster
 	engines []*platformtest.Process
 	starts  int
 }
 
 func newCrashingFleet(t *testing.T, n, engines int) *crashingFleet {
 	t.Helper()
-	f := &crashingFleet{entries: newEntries(t, n, clockwork.NewRealClock())}
+	f := &crashingFleet{cluster: newCluster(t, n, clockwork.NewRealClock())}
 	for range engines {
 		f.starts++
 		p, err := platformtest.StartProcess(platformtest.EngineConfig{ID: fmt.Sprintf("e%d", f.starts), Service: service, Domain: "d1", Version: "v1", Pause: time.Millisecond,
@@ -46,7 +46,7 @@
 	return f
 }
 
-// recover starts the engines that crashed again, as other incarnations.
+// recover restarts the engines that crashed, as new incarnations.
 func (f *crashingFleet) recover() {
 	f.t.Helper()
 	for _, p := range f.engines {
@@ -74,14 +74,14 @@
 	return n
 }
 
-// lawful sends streams that crash nothing to all entries, the same ones each time. The
-// returned function waits for them and tells how many were not answered whole.
-func (f *crashingFleet) lawful(each int) (failed func() int) {
+// sendHarmless sends streams that crash no engine to all entries, the same ones each time.
+// The returned function waits for them and returns how many were not answered completely.
+func (f *crashingFleet) sendHarmless(perEntry int) (failed func() int) {
 	f.t.Helper()
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	for i, e := range f.all {
-		for j := range each {
+		for j := range perEntry {
 			f.sent++
 			req := e.request(http.MethodPost, "/resume/stream", fmt.Sprintf("lawful %d of entry %d", j, i), "X-Attempt-Id", fmt.Sprintf("r%d", f.sent))
 			wg.Go(func() {
@@ -107,11 +107,11 @@
 	return err == nil && string(body) == platformtest.WholeStream(0, 5)
 }
 
-// Guards against an endpoint crashed by a copy of a request that still waits there when other copies are found out.
+// Guards against an endpoint being crashed by an attempt that still waits there when the request is quarantined.
 func TestACopyThatWaitsAtAnEndpointIsStopped(t *testing.T) {
 	for _, path := range []string{"/resume/stream", "/get/x", "/post/x"} {
 		is := is.New(t)
-		w := newWorld(t, 2)
+		w := newEnv(t, 2)
 		began := make(chan struct{}, 1)
 		for _, e := range w.engines {
 			e.FaultOf = func(*http.Request) platformtest.Fault { return platformtest.Hang }
@@ -120,17 +120,17 @@
 		got := make(chan answer)
 		go func() { got <- w.do(http.MethodPost, path, poison) }()
 		<-began
-		of := quarantine.Of("cust", http.MethodPost, host, path, []byte(poison))
-		w.quarantine.Crashed(of, "x1", quarantine.Started)
-		w.quarantine.Crashed(of, "x2", quarantine.Started)
+		fingerprint := quarantine.Of("cust", http.MethodPost, host, path, []byte(poison))
+		w.quarantine.Crashed(fingerprint, "x1", quarantine.Started)
+		w.quarantine.Crashed(fingerprint, "x2", quarantine.Started)
 		is.Equal((<-got).status, http.StatusBadGateway) // it may have run
 		is.Equal(len(w.runs()), 1)
 	}
 }
 
-// mostCrashes is how many engines a request may crash, all entries together: three until
-// it is known, and three more sends.
-const mostCrashes = 6
+// maxCrashes is how many engines a request may crash at all entries together: three until it
+// is quarantined, and three more sends.
+const maxCrashes = 6
 
 // Guards against a request that crashes the endpoints that run it being sent to one after the other.
 func TestARequestThatCrashesEndpointsIsQuarantined(t *testing.T) {
@@ -141,13 +141,13 @@
 			var last answer
 			for i := range 16 {
 				before := f.crashes()
-				failed := f.lawful(2)
+				failed := f.sendHarmless(2)
 				last = f.send(i%len(f.all), path, poison)
 				is.True(failed() == 0 || f.crashes() > before)
 				f.recover()
 				f.gossip()
 			}
-			is.True(f.crashes() <= mostCrashes)
+			is.True(f.crashes() <= maxCrashes)
 			is.Equal(last.status, http.StatusServiceUnavailable) // it has not run
 			is.True(last.header.Get("Retry-After") != "")
 		})
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -21,14 +21,14 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// mostRefusedSends is how many endpoints may refuse a request, as not run,
-// before the caller is told to come back: each costs the fleet's budget a
-// repeat.
-const mostRefusedSends = 2
+// maxRefusedSends is how many endpoints may refuse a request as not run before
+// the caller is told to retry later. Each refusal costs the fleet a retry from its
+// budget.
+const maxRefusedSends = 2
 
-// mostUnreached is how many endpoints may not accept a connection before the
-// caller is told to come back: they cost no endpoint anything, only time.
-const mostUnreached = 6
+// maxUnreached is how many endpoints may fail to accept a connection before the
+// caller is told to retry later. They cost no endpoint any work, only time.
+const maxUnreached = 6
 
 // exchange is one request and its answer.
 type exchange struct {
@@ -44,51 +44,51 @@
 	service  string
 	body     []byte
 	hasBody  bool
-	// fingerprint is of the request as its caller sent it; 0: its body was not read.
+	// fingerprint identifies the request as its caller sent it; 0: its body was not read.
 	fingerprint quarantine.Fingerprint
 
 	tried map[fleet.EndpointID]bool
-	// runs counts sends that may have run, refused those that did not.
+	// runs counts the sends that may have run, refused those that did not run.
 	runs, refused int
-	leaves        float64 // how much room the next send leaves at endpoints that name a limit
-	paid          bool    // the next repeat was taken from the budget already
+	headroom      float64 // how many requests of its limit the next send leaves to others
+	retryReserved bool    // the next retry was already taken from the budget
 	unreached     int     // sends for which no connection was accepted
 	model         int     // index into the route's models
-	started       bool    // something of an answer has reached the caller
+	started       bool    // a part of the answer was sent to the caller
 	status        int
 	outcome       string
 	attempts      []attempt
-	done          bool        // the line is written
+	logged        bool        // the log line is written
 	copied        bool        // a copy was sent to an endpoint on trial
-	answered      atomic.Bool // whole, before the caller left
+	answered      atomic.Bool // completely, before the caller left
 }
 
-// attempt is what the log tells of one send.
+// attempt records one send for the log.
 type attempt struct {
 	endpoint fleet.Endpoint
-	lapsed   bool // its registration had ended: it was the last resort
-	crashed  bool // it ended under the request
+	lapsed   bool // the endpoint's registration had lapsed and no other was available
+	crashed  bool // the endpoint crashed while it had the request
 	model    string
 	outcome  place.Outcome
 	status   int
-	load     *call.Load // as the endpoint told it
-	limit    float64    // requests a second, as the endpoint named it; 0: none
-	// confidence is the model's own opinion of its answer; negative: not told.
-	confidence int
-	begun      time.Duration // since the request was received
-	first      time.Duration // to the first event or answer, since begun
-	events     int           // of a stream, as read from the endpoint
-	stream     time.Duration // from its first event to its last
-	pause      time.Duration // the longest between two events
-	why        string
-	kept       cascade.Verdict               // why a doubted answer was kept; empty: it was not
-	pauses     [paceEvents - 1]time.Duration // between the first events
+	load     *call.Load // as the endpoint reported it
+	limit    float64    // requests a second, as the endpoint announced it; 0: none
+	// confidence is the model's own rating of its answer; negative: not given.
+	confidence   int
+	begun        time.Duration // since the request was received
+	first        time.Duration // to the first event or answer, since begun
+	events       int           // read from the endpoint's stream
+	streamTime   time.Duration // from its first event to its last
+	longestPause time.Duration // the longest between two events
+	cause        string
+	keepReason   cascade.Verdict               // why an answer of low confidence was kept; empty: none was
+	firstPauses  [paceEvents - 1]time.Duration // between the first events
 }
 
-func (x *exchange) left() time.Duration { return x.deadline.Sub(x.server.Clock.Now()) }
+func (x *exchange) remaining() time.Duration { return x.deadline.Sub(x.server.Clock.Now()) }
 
-// target is the service that the request falls to: by the weights of its
-// route, and the same for all tries of the entry.
+// target returns the service that handles the request. It is chosen by the weights
+// of the route and stays the same for all attempts of the entry.
 func (x *exchange) target() string {
 	if x.service != "" {
 		return x.service
@@ -102,28 +102,28 @@
 	if len(targets) == 1 || total == 0 {
 		return x.service
 	}
-	at := int(place.Hash(x.facts.ID, x.route.Name) >> 1 % uint64(total))
+	point := int(place.Hash(x.facts.ID, x.route.Name) >> 1 % uint64(total))
 	for _, t := range targets {
-		if at < t.Weight {
+		if point < t.Weight {
 			x.service = t.Service
 			break
 		}
-		at -= t.Weight
+		point -= t.Weight
 	}
 	return x.service
 }
 
-// run answers the request.
 func (x *exchange) run(ctx context.Context) {
 	x.tried = map[fleet.EndpointID]bool{}
 	if x.route.Kind == fleet.Streaming {
 		x.runStream(ctx)
 		return
 	}
-	x.runWhole(ctx)
+	x.runBuffered(ctx)
 }
 
-// modelName is the model to name to the endpoint; empty: the caller's stands.
+// modelName returns the model to request from the endpoint; empty: the one that
+// the caller named.
 func (x *exchange) modelName() string {
 	if len(x.route.Models) == 0 || x.facts.Model != call.AnyModel {
 		return ""
@@ -131,50 +131,50 @@
 	return x.route.Models[x.model]
 }
 
-// sent is a request at an endpoint.
-type sent struct {
-	group     *fleet.Group
-	endpoint  fleet.Endpoint
-	ticket    *place.Ticket
-	resp      *upstream.Response
-	head      call.Answer
-	cancel    context.CancelFunc
-	watch     *watchdog
-	hold      *quarantine.Hold
-	streaming time.Time     // when the first event came
-	wait      time.Duration // for others, as far as known when it was sent
-	index     int           // into attempts
+// upstreamCall is a request at an endpoint.
+type upstreamCall struct {
+	group        *fleet.Group
+	endpoint     fleet.Endpoint
+	ticket       *place.Ticket
+	resp         *upstream.Response
+	head         call.Answer
+	cancel       context.CancelFunc
+	watch        *watchdog
+	hold         *quarantine.Hold
+	firstEventAt time.Time     // when the first event was read
+	expectedWait time.Duration // for requests ahead of this one, as estimated when it was sent
+	attemptIndex int           // into attempts
 }
 
-// end closes the call and notes how it ended.
-func (x *exchange) end(c *sent, o place.Outcome, why string) {
+// end closes the call and records its outcome.
+func (x *exchange) end(c *upstreamCall, o place.Outcome, cause string) {
 	c.watch.stop()
 	c.hold.Release()
-	if reason := c.watch.why(); reason != "" {
-		why = reason
+	if reason := c.watch.cause(); reason != "" {
+		cause = reason
 	}
-	if c.watch.paidFor() {
-		x.paid = true
+	if c.watch.hasReservedRetry() {
+		x.retryReserved = true
 	}
 	c.cancel()
 	if c.resp != nil {
 		c.resp.Close()
 	}
 	c.ticket.End(o)
-	a := &x.attempts[c.index]
-	a.outcome, a.why = o, why
+	a := &x.attempts[c.attemptIndex]
+	a.outcome, a.cause = o, cause
 	x.server.metrics.attempt(o)
 }
 
-// send sends the request to one endpoint and reads the head of its answer.
-// On an error, the attempt is ended and noted.
-func (x *exchange) send(ctx context.Context, resumeAfter string) (*sent, *refusal, error) {
-	if ref := x.quarantined(); ref != nil {
+// send sends the request to one endpoint and reads the head of its response.
+// On an error, the attempt has been ended and recorded.
+func (x *exchange) send(ctx context.Context, resumeAfter string) (*upstreamCall, *refusal, error) {
+	if ref := x.checkQuarantine(); ref != nil {
 		return nil, ref, nil
 	}
 	s := x.server
 	group, best, ref := x.pick()
-	for ref == nil && !s.Limits.Take(best.Endpoint, x.leaves) {
+	for ref == nil && !s.Limits.Take(best.Endpoint, x.headroom) {
 		group, best, ref = x.pick()
 	}
 	if ref != nil {
@@ -183,9 +183,9 @@
 	ep := best.Endpoint
 	x.tried[ep.ID] = true
 	ctx, cancel := context.WithCancel(ctx)
-	c := &sent{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.Reading(x.modelName(), x.facts.Usage.Prompt)), cancel: cancel, index: len(x.attempts), wait: best.Standing.Wait}
+	c := &upstreamCall{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.Reading(x.modelName(), x.facts.Usage.Prompt)), cancel: cancel, attemptIndex: len(x.attempts), expectedWait: best.Standing.Wait}
 	x.attempts = append(x.attempts, attempt{endpoint: ep, lapsed: group.HasLapsed(ep.ID), model: x.modelName(), confidence: -1, begun: s.Clock.Since(x.received)})
-	d := call.Directions{Endpoint: ep.Name, Remaining: x.left(), Model: x.modelName(), ResumeAfter: resumeAfter}
+	d := call.Directions{Endpoint: ep.Name, Remaining: x.remaining(), Model: x.modelName(), ResumeAfter: resumeAfter}
 	d.Urgency, d.SetUrgency = x.urgency()
 	if x.customer != nil {
 		d.Customer = x.customer.Name
@@ -193,16 +193,16 @@
 	c.watch = x.watch(c, cancel)
 	c.hold = s.Quarantine.Hold(x.fingerprint, cancel)
 	resp, err := upstream.Send(ctx, &upstream.Request{Address: ep.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectWithin()})
+		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectTimeout()})
 	if err != nil {
 		return c, nil, x.failedSend(ctx, c, err)
 	}
 	c.resp = resp
 	c.head = s.Wire.Answer(resp.Status, resp.Header)
-	x.attempts[c.index].status = resp.Status
-	x.attempts[c.index].load = c.head.Load
-	x.attempts[c.index].limit = c.head.Limit
-	x.attempts[c.index].confidence = c.head.Confidence
+	x.attempts[c.attemptIndex].status = resp.Status
+	x.attempts[c.attemptIndex].load = c.head.Load
+	x.attempts[c.attemptIndex].limit = c.head.Limit
+	x.attempts[c.attemptIndex].confidence = c.head.Confidence
 	if c.head.Limit > 0 || c.head.Sealed {
 		s.Limits.Named(ep, c.head.Limit)
 	}
@@ -213,34 +213,34 @@
 	return c, nil, nil
 }
 
-// connectWithin is how long an endpoint may take to accept a connection. Where a
-// domain is cut off or a packet lost, a short request that waits for the usual
-// time-out is late whichever endpoint takes it then: with half of its objective
-// it has the other half left. Where a domain is cut off for six seconds of a
-// minute, non-idempotent calls with an objective of 100 ms came late 0.92 times
-// in 100 rather than 1.20, idempotent ones 1.62 rather than 1.82.
-func (x *exchange) connectWithin() time.Duration {
+// connectTimeout returns how long an endpoint may take to accept a connection. If
+// a failure domain is partitioned or a packet is lost, a short request that waits
+// for DialTimeout is late whichever endpoint serves it afterwards; with half of its
+// objective it has the other half left. With a domain partitioned for six seconds
+// of a minute, 0.92 % of the non-idempotent calls with an objective of 100 ms were
+// late instead of 1.20 %, and 1.62 % of the idempotent ones instead of 1.82 %.
+func (x *exchange) connectTimeout() time.Duration {
 	if x.route.Kind == fleet.Streaming || x.route.Objective <= 0 {
 		return upstream.DialTimeout
 	}
-	return max(leastConnect, x.route.Objective/2)
+	return max(minConnectTimeout, x.route.Objective/2)
 }
 
-// leastConnect leaves room for an endpoint in another region, 20 ms away.
-const leastConnect = 60 * time.Millisecond
+// minConnectTimeout allows for an endpoint in another region, 20 ms away.
+const minConnectTimeout = 60 * time.Millisecond
 
-// failedSend ends an attempt that got no answer. An error that is not
-// errNotRun leaves it open whether the request ran.
-func (x *exchange) failedSend(ctx context.Context, c *sent, err error) error {
+// failedSend ends an attempt that got no answer. Unless it returns errNotSent, the
+// request may have run.
+func (x *exchange) failedSend(ctx context.Context, c *upstreamCall, err error) error {
 	var notSent *upstream.NotSentError
 	switch {
-	case cut(ctx):
+	case cutByStop(ctx):
 		x.end(c, place.Abandoned, "entry stops")
 		if errors.As(err, &notSent) {
 			return errNotSent
 		}
 		x.runs++
-		return errCut
+		return errCutByStop
 	case x.r.Context().Err() != nil:
 		x.end(c, place.Abandoned, "caller left")
 	case c.hold.Stopped():
@@ -272,22 +272,23 @@
 	errNotRun     = errors.New("request did not run")
 	errNotSent    = errors.New("request was not sent")
 	errMayHaveRun = errors.New("request may have run")
-	// errQuarantined: other copies of the request have crashed endpoints.
+	// errQuarantined: other sends of the request have crashed endpoints.
 	errQuarantined = errors.New("request is quarantined")
-	errCut         = errors.New("entry stops; request may have run")
+	errCutByStop   = errors.New("entry stops; request may have run")
 )
 
-// cut reports whether a request's context ended with the planned stop's time,
-// and not as its caller left. The log would otherwise put it on the caller.
-func cut(ctx context.Context) bool { return errors.Is(context.Cause(ctx), drain.ErrCut) }
+// cutByStop reports whether a request's context ended because the time of a planned
+// stop was over, and not because its caller left, to which the log would otherwise
+// attribute it.
+func cutByStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), drain.ErrCut) }
 
-// observe counts the answer for the roll-outs, and learns from it how long
-// answers take, unless its version may be a slow one.
-func (x *exchange) observe(c *sent, failed bool, took time.Duration) {
-	x.attempts[c.index].first = took
+// observe counts the answer for the roll-outs and, unless its version may be a slow
+// one, updates the estimates of how long answers take.
+func (x *exchange) observe(c *upstreamCall, failed bool, took time.Duration) {
+	x.attempts[c.attemptIndex].first = took
 	s := x.server
 	model, tokens := x.modelName(), x.facts.Usage.Prompt
-	a := rollout.Answer{Group: c.group, Endpoint: c.endpoint, Route: x.route.Name, Model: model, Failed: failed, Took: took, Wait: c.wait}
+	a := rollout.Answer{Group: c.group, Endpoint: c.endpoint, Route: x.route.Name, Model: model, Failed: failed, Took: took, Wait: c.expectedWait}
 	if tokens > 0 {
 		a.Expected = s.Rates.First(model, tokens)
 	}
@@ -304,38 +305,37 @@
 	s.Rollouts.Keep(x.facts.Session, c.group, c.endpoint.Version)
 }
 
-// mayTryAgain reports whether a request that may have run can be sent once
-// more.
-func (x *exchange) mayTryAgain(use retry.Use) bool {
-	if !x.route.MayRepeat() || x.runs >= x.route.MaxAttempts || x.left() <= shortestTry {
+// mayRetry reports whether a request that may have run can be sent again.
+func (x *exchange) mayRetry(use retry.Use) bool {
+	if !x.route.MayRepeat() || x.runs >= x.route.MaxAttempts || x.remaining() <= minAttemptTime {
 		return false
 	}
-	if x.paid {
-		x.paid = false
+	if x.retryReserved {
+		x.retryReserved = false
 		return true
 	}
 	return x.server.Budget.Take(x.target(), use)
 }
 
-// mayTryElsewhere reports whether one that did not run can be sent to
-// another endpoint.
-func (x *exchange) mayTryElsewhere() bool {
+// mayRetryRefused reports whether a request that an endpoint refused to run can be
+// sent to another endpoint.
+func (x *exchange) mayRetryRefused() bool {
 	x.refused++
-	return x.refused <= mostRefusedSends && x.left() > shortestTry && x.server.Budget.Take(x.target(), retry.ForFailure)
+	return x.refused <= maxRefusedSends && x.remaining() > minAttemptTime && x.server.Budget.Take(x.target(), retry.ForFailure)
 }
 
-// mayReachElsewhere reports whether one that was never sent can be sent to
+// mayRetryUnsent reports whether a request that could not be sent can be sent to
 // another endpoint.
-func (x *exchange) mayReachElsewhere() bool {
+func (x *exchange) mayRetryUnsent() bool {
 	x.unreached++
-	return x.unreached <= mostUnreached && x.left() > shortestTry
+	return x.unreached <= maxUnreached && x.remaining() > minAttemptTime
 }
 
-// shortestTry is the least time left for which another try is worth its cost.
-const shortestTry = 20 * time.Millisecond
+// minAttemptTime is the least remaining time for which another attempt is worth its cost.
+const minAttemptTime = 20 * time.Millisecond
 
-// returnHead copies an endpoint's status and headers to the caller.
-func (x *exchange) returnHead(c *sent, length int64) {
+// writeHead sends an endpoint's status and headers to the caller.
+func (x *exchange) writeHead(c *upstreamCall, length int64) {
 	h := x.w.Header()
 	for name, values := range x.server.Wire.Returned(c.resp.Header) {
 		h[name] = values
@@ -346,25 +346,25 @@
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	x.lastIfStopping()
+	x.closeConnIfStopping()
 	x.started = true
 	x.status = c.head.Status
 	x.w.WriteHeader(c.head.Status)
 }
 
-// lastIfStopping makes the answer about to begin the last on its connection if
-// the entry stops. A caller that keeps the connection sends its next request on
-// it, and one that crosses the close gets no answer.
-func (x *exchange) lastIfStopping() {
+// closeConnIfStopping makes the next response the last on its connection if the entry
+// is stopping. On a connection that is kept, the caller's next request could cross
+// the close and would get no answer.
+func (x *exchange) closeConnIfStopping() {
 	if x.server.Gate.Stopping() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// breakOff ends the connection so that what the caller has does not look
-// whole.
-func (x *exchange) breakOff(outcome string) {
+// abortResponse closes the connection, so that the response does not look
+// complete to the caller.
+func (x *exchange) abortResponse(outcome string) {
 	x.outcome = outcome
-	x.logged()
+	x.logRequest()
 	panic(http.ErrAbortHandler)
 }
--- a/ingress/faults_test.go
+++ b/ingress/faults_test.go
@@ -13,32 +13,30 @@
 	"github.com/lovageweir/lovageweir/rollout"
 )
 
-// Symptom: a reminder is sent twice.
-// Events: a non-idempotent request reaches an endpoint, which runs it and
-// then resets, sends bytes that are no answer, or answers for another.
-// Cause: a router that takes the lost answer for a request that did not run.
-func TestNonIdempotentRunsOnceWhateverBecomesOfItsAnswer(t *testing.T) {
+// Guards against a non-idempotent request running twice (a reminder sent twice)
+// because a lost answer is taken for a request that did not run. The endpoint runs it
+// and then resets, sends an invalid response, or answers for another request.
+func TestNonIdempotentRequestRunsOnceIfItsAnswerIsLost(t *testing.T) {
 	for _, f := range []platformtest.Fault{platformtest.ResetBefore, platformtest.ResetMiddle, platformtest.Garbage, platformtest.Unsealed,
 		platformtest.OtherID} {
 		t.Run(string(f), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 3)
+			w := newEnv(t, 3)
 			w.faults(f)
 			a := w.do(http.MethodPost, "/post/x", "body")
 			is.NoErr(a.err)
-			is.Equal(a.status, http.StatusBadGateway) // says nothing of whether it ran
+			is.Equal(a.status, http.StatusBadGateway) // it may have run
 			is.Equal(len(w.runs()), 1)
 		})
 	}
 }
 
-// Symptom: a caller is told that its request did not run, repeats it, and it
-// has run twice.
-// Events: the only endpoint runs a request and resets; no other is left.
-// Cause: the refusal for want of endpoints forgot that one send may have run.
-func TestNoEndpointLeftIsNoRefusalAfterARun(t *testing.T) {
+// Guards against a caller being told that its request did not run, so that it repeats
+// it and it runs twice. The only endpoint runs the request and resets; the refusal for
+// lack of endpoints ignored that one send may have run.
+func TestNoEndpointLeftAfterARunIsAFailure(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.ResetBefore, platformtest.ResetBefore, platformtest.ResetBefore)
 	for _, path := range []string{"/post/x", "/get/x", "/once/stream", "/resume/stream"} {
 		a := w.do(http.MethodPost, path, "body")
@@ -47,37 +45,35 @@
 	}
 }
 
-// Symptom: a request fails although other endpoints would have served it.
-// Events: an endpoint breaks off, fails or sends rubbish; the request may be
-// repeated.
+// Guards against a repeatable request failing although other endpoints could serve it,
+// when an endpoint breaks off, fails or sends an invalid response.
 func TestIdempotentIsServedByAnotherEndpoint(t *testing.T) {
 	for _, f := range []platformtest.Fault{platformtest.ResetBefore, platformtest.ResetMiddle, platformtest.Garbage, platformtest.Unsealed,
 		platformtest.OtherID, platformtest.Fail, platformtest.Refuse} {
 		t.Run(string(f), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 3)
+			w := newEnv(t, 3)
 			w.faults(f)
 			w.do(http.MethodGet, "/get/x", "").whole(is)
 		})
 	}
 }
 
-// Symptom: an endpoint without room makes requests fail that may not repeat.
-// Events: the endpoint says that it did not run the request.
-func TestARefusedSendGoesElsewhere(t *testing.T) {
+// Guards against a full endpoint making non-repeatable requests fail, though its
+// response says that it did not run them.
+func TestRefusedRequestIsSentToAnotherEndpoint(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newEnv(t, 3)
 	w.faults(platformtest.Refuse, platformtest.Refuse)
 	w.do(http.MethodPost, "/post/x", "body").whole(is)
 	is.Equal(len(w.runs()), 1)
 }
 
-// Symptom: callers hang while every endpoint is full.
-// Events: all endpoints refuse.
-// The caller is told at once, truly that it did not run, and when to return.
-func TestAllEndpointsFullIsARefusalWithATime(t *testing.T) {
+// Guards against callers hanging while every endpoint is full. They are told at once
+// that the request did not run, and when to retry.
+func TestAllEndpointsFullIsRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newEnv(t, 3)
 	w.faults(platformtest.Refuse, platformtest.Refuse, platformtest.Refuse, platformtest.Refuse)
 	a := w.do(http.MethodPost, "/post/x", "body")
 	is.Equal(a.status, http.StatusServiceUnavailable)
@@ -85,92 +81,90 @@
 	is.Equal(len(w.runs()), 0)
 }
 
-// Symptom: an answer holds bytes of another's.
-// Events: an endpoint sends a second answer right after the first.
-// Cause: a kept connection on which the next request reads what is left over.
-func TestASecondAnswerReachesNobody(t *testing.T) {
+// Guards against an answer containing bytes of another one: an endpoint sends a second
+// response right after the first, and the next request on a reused connection reads it.
+func TestExtraResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.Extra)
 	w.do(http.MethodPost, "/post/x", "body").whole(is)
 	w.do(http.MethodPost, "/post/x", "body").whole(is)
 }
 
-// An answer without a length ends with its connection.
+// A response without a length ends with its connection.
 func TestAnswerWithoutLengthIsWhole(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.Unframed)
 	w.do(http.MethodPost, "/post/x", "body").whole(is)
 }
 
-// Symptom: entry and endpoint wait for each other until the deadline.
-// Events: an endpoint answers before it has read a long body.
+// Guards against entry and endpoint waiting for each other until the deadline when the
+// endpoint responds before it has read a long body.
 func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.Early)
 	w.do(http.MethodPost, "/post/x", strings.Repeat("b", 60<<10)).whole(is)
 }
 
-// Symptom: a caller gets a stream with a hole, or a piece twice, or one that
-// ends early and looks whole.
-// Events: an endpoint resets in the middle of an event.
-// The stream goes on at another endpoint from the last whole event.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+// Guards against a caller getting a stream with a gap, with duplicate events, or one
+// that ends early and looks complete, when an endpoint resets in the middle of an event.
+// Another endpoint continues the stream after the last complete event.
+func TestResumableStreamContinuesAtAnotherEndpoint(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newEnv(t, 3)
 	w.faults(platformtest.ResetMiddle, platformtest.ResetMiddle)
 	w.do(http.MethodPost, "/resume/stream", "body").wholeStream(is)
 	runs := w.runs()
 	is.Equal(len(runs), 3)
 }
 
-// Symptom: the same, on a route whose streams may not resume.
-// The caller's stream ends without its end, and nothing runs twice.
+// Guards against the same on a route whose streams are not resumable. The caller's
+// stream breaks off recognisably, and nothing runs twice.
 func TestAStreamThatMayNotResumeIsBrokenOff(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newEnv(t, 3)
 	w.faults(platformtest.ResetMiddle)
 	a := w.do(http.MethodPost, "/once/stream", "body")
-	is.True(a.err != nil) // what came does not look whole
+	is.True(a.err != nil) // what was received does not look complete
 	is.Equal(len(w.runs()), 1)
 }
 
-// A caller that resumes gets what it lacks, also across a second break.
-func TestACallersOwnResumptionIsPassedOn(t *testing.T) {
+// A caller that resumes gets the missing events, also if its stream breaks again.
+func TestCallerResumptionIsForwarded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newEnv(t, 2)
 	w.faults(platformtest.ResetMiddle)
 	a := w.do(http.MethodPost, "/resume/stream", "body", "Last-Event-Id", "2")
 	is.NoErr(a.err)
 	is.Equal(a.body, platformtest.WholeStream(2, 5))
 }
 
-// Symptom: a caller waits past its deadline.
-// Events: an endpoint takes a request and never answers.
+// Guards against a caller waiting past its deadline when an endpoint accepts a request
+// and never answers.
 func TestAHangingEndpointEndsWithTheDeadline(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.Hang)
 	a := w.do(http.MethodPost, "/quick/x", "body")
 	is.Equal(a.status, http.StatusGatewayTimeout) // it may have run
 }
 
-// Symptom: an idempotent request waits for a hanging endpoint although
-// another would answer.
-func TestAHangingEndpointIsLeftForAnother(t *testing.T) {
+// Guards against an idempotent request waiting for a hanging endpoint although
+// another one would answer.
+func TestHangingEndpointIsReplacedByAnother(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newEnv(t, 2)
 	w.faults(platformtest.Hang)
 	w.do(http.MethodGet, "/get/x", "").whole(is)
 }
 
-// Symptom: engines work for callers that are gone.
-// Events: a caller closes its connection while its request waits.
+// Guards against engines working for callers that closed their connection while the
+// request was waiting.
 func TestWorkEndsWhenTheCallerLeaves(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.faults(platformtest.Hang)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -186,27 +180,26 @@
 	<-done
 	waitFor(t, func() bool { return w.runs()[0].Left })
 	waitFor(t, func() bool { return w.gate.InFlight() == 0 })
-	is.Equal(len(w.runs()), 1) // it was not sent on to another either
+	is.Equal(len(w.runs()), 1) // nor was it sent to another endpoint
 }
 
-// waitFor waits until something holds; the test's own limit bounds it.
+// waitFor waits until a condition holds, bounded by the test's own deadline.
 func waitFor(t *testing.T, cond func() bool) {
 	t.Helper()
 	for !cond() {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("never came true")
+			t.Fatal("condition was not met before the end of the test")
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// Symptom: a request runs at a service that it was never meant for.
-// Events: an engine ends; another has its address now.
-// The engine that was meant is named, any other refuses.
+// Guards against a request running at another service's engine that has taken over the
+// address of one that ended. Each send names the intended engine; any other refuses.
 func TestAnAddressTakenOverByAnotherEndpoint(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newEnv(t, 2)
 	w.engines[0].Config.ID = "another" // the registration names e1
 	for range 5 {
 		w.do(http.MethodPost, "/post/x", "body").whole(is)
@@ -214,10 +207,10 @@
 	is.Equal(len(w.engines[0].Runs()), 0)
 }
 
-// Guards against a halted version getting requests when only endpoints are left whose registration has lapsed.
-func TestTheLastResortIsNoHaltedVersion(t *testing.T) {
+// Guards against a halted version getting requests when the only endpoints left are those whose registration has lapsed.
+func TestHaltedVersionIsNoFallback(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0)
+	w := newEnv(t, 0)
 	w.addEngine(platformtest.EngineConfig{ID: "old", Service: service, Domain: "d1", Version: "v1"})
 	w.addEngine(platformtest.EngineConfig{ID: "new", Service: service, Domain: "d1", Version: "v2"})
 	w.put("op/rollout/"+service, []byte(`{"service":"`+service+`","target":"v2","duration_s":1000}`))
@@ -235,7 +228,7 @@
 		w.do(http.MethodPost, "/post/x", "body").whole(is)
 	}
 	is.Equal(len(w.engines[0].Runs()), 10)
-	is.True(strings.Contains(w.logs.String(), `"sends":"old v1 lapsed at=`)) // the line says so
+	is.True(strings.Contains(w.logs.String(), `"sends":"old v1 lapsed at=`)) // the log line shows it
 	w.engines[0].FaultOf = func(*http.Request) platformtest.Fault { return platformtest.Refuse }
 	is.Equal(w.do(http.MethodPost, "/post/x", "body").status, http.StatusServiceUnavailable)
 	is.Equal(len(w.engines[1].Runs()), 0)
--- a/ingress/harness_test.go
+++ b/ingress/harness_test.go
@@ -32,8 +32,8 @@
 	"github.com/lovageweir/lovageweir/rollout"
 )
 
-// The world of these tests: a host with one route of each kind, all to one
-// service of a few engines.
+// The test set-up: a host with one route of each kind, all to one service of a few
+// engines.
 const (
 	host    = "shop.example"
 	service = "svc"
@@ -61,14 +61,14 @@
 	}
 }
 
-type world struct {
+type testEnv struct {
 	t          *testing.T
 	kv         *memkv.Store
 	fleet      *fleet.Follower
 	engines    []*platformtest.Engine
 	server     *ingress.Server
 	gate       *drain.Gate
-	stop       *clockwork.FakeClock // what the gate goes by
+	stop       *clockwork.FakeClock // the gate's clock
 	orders     *rollout.Controller
 	quarantine *quarantine.Table
 	limits     *ratelimit.Limits
@@ -77,7 +77,7 @@
 	logs       *logBuffer
 }
 
-// logBuffer keeps what is logged; it is safe for concurrent use.
+// logBuffer collects the log; it is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -95,11 +95,11 @@
 	return l.b.String()
 }
 
-// newWorld starts n engines and an entry that knows them and the
-// configuration; n may be 0.
-func newWorld(t *testing.T, n int) *world {
+// newEnv starts n engines, which may be 0, and an entry that knows them and the
+// configuration.
+func newEnv(t *testing.T, n int) *testEnv {
 	t.Helper()
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	w.put("op/config", platformtest.EncodeConfig(testConfig()))
 	for i := range n {
 		w.addEngine(platformtest.EngineConfig{ID: "e" + string(rune('1'+i)), Service: service, Domain: "d1", Version: "v1"})
@@ -108,16 +108,16 @@
 	return w
 }
 
-func newEmptyWorld(t *testing.T) *world {
+func newUnconfiguredEnv(t *testing.T) *testEnv {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	return newEntryBefore(t, memkv.New(clock), clock, "i1")
+	return newEnvWithStore(t, memkv.New(clock), clock, "i1")
 }
 
-// newEntryBefore is an entry that knows nothing of its store yet.
-func newEntryBefore(t *testing.T, store *memkv.Store, clock clockwork.Clock, name string) *world {
+// newEnvWithStore starts an entry that has not read its store yet.
+func newEnvWithStore(t *testing.T, store *memkv.Store, clock clockwork.Clock, name string) *testEnv {
 	t.Helper()
-	w := &world{t: t, kv: store, logs: &logBuffer{}}
+	w := &testEnv{t: t, kv: store, logs: &logBuffer{}}
 	log := slog.New(slog.NewJSONHandler(w.logs, nil))
 	w.fleet = fleet.NewFollower(fleet.Entry{Instance: name, Domain: "d1"}, w.kv, platform.Values{}, time.Second, clock, log)
 	board := place.NewBoard(clock)
@@ -139,15 +139,15 @@
 	return w
 }
 
-func (w *world) put(key string, value []byte) {
+func (w *testEnv) put(key string, value []byte) {
 	w.t.Helper()
 	if _, err := w.kv.Put(context.Background(), key, value, 0); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// addEngine starts an engine and registers it; sync makes it known.
-func (w *world) addEngine(c platformtest.EngineConfig) *platformtest.Engine {
+// addEngine starts an engine and registers it; sync makes it known to the entry.
+func (w *testEnv) addEngine(c platformtest.EngineConfig) *platformtest.Engine {
 	w.t.Helper()
 	e := platformtest.NewEngine(c)
 	srv := httptest.NewServer(e)
@@ -158,8 +158,8 @@
 	return e
 }
 
-// sync makes the entry know what the store holds.
-func (w *world) sync() {
+// sync loads the content of the store into the entry.
+func (w *testEnv) sync() {
 	w.t.Helper()
 	rev, items, err := w.kv.Get(context.Background(), "", true)
 	if err != nil {
@@ -172,9 +172,9 @@
 	w.fleet.Merge("test", c, 0)
 }
 
-// faults makes every engine misbehave in turn: the nth send of a request to
-// any engine gets the nth fault, later ones none.
-func (w *world) faults(f ...platformtest.Fault) {
+// faults injects faults in order: the nth request sent to any engine gets the nth
+// fault, later ones none.
+func (w *testEnv) faults(f ...platformtest.Fault) {
 	var n atomic.Int64
 	for _, e := range w.engines {
 		e.FaultOf = func(*http.Request) platformtest.Fault {
@@ -186,8 +186,8 @@
 	}
 }
 
-// runs are all runs at all engines.
-func (w *world) runs() []platformtest.Run {
+// runs returns all runs at all engines.
+func (w *testEnv) runs() []platformtest.Run {
 	var out []platformtest.Run
 	for _, e := range w.engines {
 		out = append(out, e.Runs()...)
@@ -203,7 +203,7 @@
 	err    error // reading the body
 }
 
-func (w *world) request(method, path, body string, header ...string) *http.Request {
+func (w *testEnv) request(method, path, body string, header ...string) *http.Request {
 	w.t.Helper()
 	req, err := http.NewRequest(method, w.url+path, strings.NewReader(body))
 	if err != nil {
@@ -219,7 +219,7 @@
 	return req
 }
 
-func (w *world) do(method, path, body string, header ...string) answer {
+func (w *testEnv) do(method, path, body string, header ...string) answer {
 	w.t.Helper()
 	resp, err := http.DefaultClient.Do(w.request(method, path, body, header...))
 	if err != nil {
@@ -230,16 +230,16 @@
 	return answer{resp.StatusCode, resp.Header, string(raw), resp.Close, err}
 }
 
-// whole checks that an answer is the whole answer to request a1.
+// whole checks that an answer is the complete answer to request a1.
 func (a answer) whole(is *is.I) {
 	is.Helper()
 	is.NoErr(a.err)
 	is.Equal(a.status, http.StatusOK)
 	is.Equal(a.body, "answer to a1")
-	is.True(a.header.Get("X-Response-Seal") != "") // the engine's seal is passed on
+	is.True(a.header.Get("X-Response-Seal") != "") // the engine's seal is forwarded
 }
 
-// wholeStream checks that an answer is all events of a stream.
+// wholeStream checks that an answer has all events of a stream.
 func (a answer) wholeStream(is *is.I) {
 	is.Helper()
 	is.NoErr(a.err)
--- a/ingress/limit_test.go
+++ b/ingress/limit_test.go
@@ -14,10 +14,10 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// limitedFleet is several entries before engines some of which name a limit, on a clock
-// that stands still while requests are served.
+// limitedFleet is several entries in front of engines some of which announce a rate limit,
+// on a fake clock that does not advance while requests are served.
 type limitedFleet struct {
-	*entries
+	*cluster
 	clock   *clockwork.FakeClock
 	engines []*platformtest.Engine
 	// arrivals at each engine, by step.
@@ -30,7 +30,7 @@
 func newLimitedFleet(t *testing.T, n, engines int) *limitedFleet {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	f := &limitedFleet{entries: newEntries(t, n, clock), clock: clock}
+	f := &limitedFleet{cluster: newCluster(t, n, clock), clock: clock}
 	for i := range engines {
 		e := platformtest.NewEngine(platformtest.EngineConfig{ID: fmt.Sprintf("e%d", i), Service: service, Domain: "d1", Version: "v1", HidesLoad: true})
 		srv := httptest.NewServer(e)
@@ -44,21 +44,21 @@
 	return f
 }
 
-// play sends so many requests a step, to the entries in turn, for a while, and returns
-// how many were answered and how many refused.
-func (f *limitedFleet) play(d time.Duration, each int) (answered, refused int) {
+// run sends a number of requests in each step, to the entries in turn, for the given time. It
+// returns how many were answered and how many refused.
+func (f *limitedFleet) run(d time.Duration, perStep int) (answered, refused int) {
 	f.t.Helper()
 	for range int(d / step) {
 		before := make([]int, len(f.engines))
 		for i, e := range f.engines {
 			before[i] = len(e.Runs())
 		}
-		for range each {
+		for range perStep {
 			entry := f.sent % len(f.all)
 			got := f.send(entry, "/post/x", fmt.Sprintf("body %d", f.sent))
 			select {
 			case <-f.all[entry].limits.Sent():
-				f.tellLimits(entry)
+				f.broadcastLimits(entry)
 			default:
 			}
 			switch got.status {
@@ -67,7 +67,7 @@
 			case http.StatusServiceUnavailable:
 				refused++
 				if got.header.Get("Retry-After") == "" {
-					f.t.Error("a refusal does not tell when to come back")
+					f.t.Error("refusal has no Retry-After header")
 				}
 			default:
 				f.t.Errorf("request %d got %d", f.sent, got.status)
@@ -78,20 +78,20 @@
 		}
 		f.clock.Advance(step)
 		for i := range f.all {
-			f.tell(i)
+			f.broadcastLoads(i)
 		}
 	}
 	return answered, refused
 }
 
-// most is the most requests that an engine got in so long, from a time on.
-func (f *limitedFleet) most(engine int, from, within time.Duration) int {
-	steps, most := f.arrivals[engine][from/step:], 0
-	n := int(within / step)
+// maxArrivals returns the most requests that an engine got within a window, from a time on.
+func (f *limitedFleet) maxArrivals(engine int, from, window time.Duration) int {
+	steps, maxArrivals := f.arrivals[engine][from/step:], 0
+	n := int(window / step)
 	for i := 0; i+n <= len(steps); i++ {
-		most = max(most, sum(steps[i:i+n]))
+		maxArrivals = max(maxArrivals, sum(steps[i:i+n]))
 	}
-	return most
+	return maxArrivals
 }
 
 func sum(all []int) int {
@@ -102,49 +102,49 @@
 	return total
 }
 
-// What a limit allows within any limitWindow, from limitGrace after it was first named.
+// What a limit allows within any limitWindow, from limitGrace after it was first announced.
 const (
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitBeyond = 5
+	limitFactor = 1.5
+	limitSlack  = 5
 )
 
-func mayGet(limit float64) int {
-	return int(limitOver*limit*limitWindow.Seconds()) + limitBeyond
+func maxAllowed(limit float64) int {
+	return int(limitFactor*limit*limitWindow.Seconds()) + limitSlack
 }
 
-// Guards against an endpoint that names a limit getting its limit from each entry, or more, instead of from all together.
-func TestAnEndpointsLimitIsKeptByAllEntries(t *testing.T) {
+// Guards against an endpoint getting its limit, or more, from each entry instead of from all together.
+func TestEndpointLimitHoldsAcrossEntries(t *testing.T) {
 	for _, limit := range []float64{0.4, 1.4, 6} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			is := is.New(t)
 			f := newLimitedFleet(t, 8, 4)
-			f.play(time.Second, 8)
+			f.run(time.Second, 8)
 			f.engines[0].SetLimit(limit)
 			const lasts = 30 * time.Second
-			answered, refused := f.play(lasts, 8)
-			is.True(f.most(0, time.Second+limitGrace, limitWindow) <= mayGet(limit))
+			answered, refused := f.run(lasts, 8)
+			is.True(f.maxArrivals(0, time.Second+limitGrace, limitWindow) <= maxAllowed(limit))
 			got := sum(f.arrivals[0][int(time.Second/step):])
-			is.True(float64(got) >= 0.9*limit*lasts.Seconds()) // all of it gets used
-			is.Equal(refused, 0)                               // the others have room
+			is.True(float64(got) >= 0.9*limit*lasts.Seconds()) // the limit is used up
+			is.Equal(refused, 0)                               // the other engines have room
 			is.True(answered > 0)
 		})
 	}
 }
 
-// Guards against a limit kept after the endpoint names it no longer.
-func TestALimitEndsWhenItIsNoLongerNamed(t *testing.T) {
+// Guards against a limit being kept after the endpoint no longer announces it.
+func TestLimitEndsWhenNoLongerAnnounced(t *testing.T) {
 	is := is.New(t)
 	f := newLimitedFleet(t, 8, 2)
 	f.engines[0].SetLimit(1)
-	f.play(10*time.Second, 5)
+	f.run(10*time.Second, 5)
 	f.engines[0].SetLimit(0)
-	f.play(10*time.Second, 5)
-	is.True(f.most(0, 15*time.Second, limitWindow) > mayGet(1))
+	f.run(10*time.Second, 5)
+	is.True(f.maxArrivals(0, 15*time.Second, limitWindow) > maxAllowed(1))
 }
 
-// Guards against requests waiting for endpoints that are all at their limits, and against limits left unused then.
+// Guards against requests waiting while all endpoints are at their limits, and against limits not being used up then.
 func TestRequestsBeyondAllLimitsAreRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	const limit = 2.0
@@ -153,16 +153,16 @@
 		e.SetLimit(limit)
 	}
 	const lasts = 30 * time.Second
-	answered, refused := f.play(lasts, 8)
+	answered, refused := f.run(lasts, 8)
 	is.True(refused > 0)
 	for i := range f.engines {
-		is.True(f.most(i, limitGrace, limitWindow) <= mayGet(limit))
+		is.True(f.maxArrivals(i, limitGrace, limitWindow) <= maxAllowed(limit))
 	}
 	is.True(float64(answered) >= 0.9*2*limit*lasts.Seconds())
 }
 
-// Guards against requests that are little work refused for good while all endpoints name a limit.
-func TestWhereAllEndpointsNameALimitEveryKindIsServed(t *testing.T) {
+// Guards against light requests being refused permanently while all endpoints announce a limit.
+func TestLightRequestsAreServedIfAllEndpointsAreLimited(t *testing.T) {
 	is := is.New(t)
 	f := newLimitedFleet(t, 4, 2)
 	for _, e := range f.engines {
@@ -179,7 +179,7 @@
 			if got.status == http.StatusOK {
 				served[usage]++
 			}
-			f.tellLimits(entry)
+			f.broadcastLimits(entry)
 		}
 		f.clock.Advance(step)
 	}
--- a/ingress/models_test.go
+++ b/ingress/models_test.go
@@ -10,8 +10,8 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// modelsOf are the models that ran, in order.
-func modelsOf(w *world) []string {
+// modelsRun returns the models that ran, in order.
+func modelsRun(w *testEnv) []string {
 	var out []string
 	for _, r := range w.runs() {
 		out = append(out, r.Model)
@@ -19,7 +19,7 @@
 	return out
 }
 
-func doubting(confidence int) func(id, model string) int {
+func smallModelConfidence(confidence int) func(id, model string) int {
 	return func(_, model string) int {
 		if model == smallM {
 			return confidence
@@ -28,51 +28,50 @@
 	}
 }
 
-func newSizedWorld(t *testing.T, confidence int) *world {
+func newModelsEnv(t *testing.T, confidence int) *testEnv {
 	t.Helper()
-	w := newWorld(t, 0)
-	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1", Confidence: doubting(confidence)})
+	w := newEnv(t, 0)
+	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1", Confidence: smallModelConfidence(confidence)})
 	w.sync()
 	return w
 }
 
-func TestASureAnswerOfTheSmallModelStands(t *testing.T) {
+func TestConfidentAnswerOfSmallModelIsKept(t *testing.T) {
 	is := is.New(t)
-	w := newSizedWorld(t, 95)
+	w := newModelsEnv(t, 95)
 	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").wholeStream(is)
-	is.Equal(modelsOf(w), []string{smallM})
+	is.Equal(modelsRun(w), []string{smallM})
 }
 
-func TestADoubtedAnswerIsDroppedForTheLargeModels(t *testing.T) {
+func TestLowConfidenceAnswerIsReplacedByLargeModel(t *testing.T) {
 	is := is.New(t)
-	w := newSizedWorld(t, 10)
+	w := newModelsEnv(t, 10)
 	a := w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10")
 	a.wholeStream(is)
-	is.Equal(modelsOf(w), []string{smallM, largeM})
-	is.Equal(a.header.Get("X-Confidence"), "90") // the head is of the answer that is returned
+	is.Equal(modelsRun(w), []string{smallM, largeM})
+	is.Equal(a.header.Get("X-Confidence"), "90") // the headers belong to the answer that is returned
 }
 
-// A model that the caller names is the caller's choice.
+// A model that the caller names is not replaced, whatever its confidence.
 func TestANamedModelIsNotReplaced(t *testing.T) {
 	is := is.New(t)
-	w := newSizedWorld(t, 10)
+	w := newModelsEnv(t, 10)
 	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", smallM, "X-Token-Usage", "100,10").wholeStream(is)
-	is.Equal(modelsOf(w), []string{smallM})
+	is.Equal(modelsRun(w), []string{smallM})
 }
 
-// Symptom: a stream resumed elsewhere goes on with another model's words.
-// Events: the large model's stream breaks off after the small one's answer was
-// dropped.
+// Guards against a stream being resumed with another model's output: the large model's
+// stream breaks off after the small one's answer was dropped.
 func TestAResumedStreamKeepsItsModel(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0)
+	w := newEnv(t, 0)
 	for _, id := range []string{"e1", "e2"} {
-		w.addEngine(platformtest.EngineConfig{ID: id, Service: service, Domain: "d1", Version: "v1", Confidence: doubting(10)})
+		w.addEngine(platformtest.EngineConfig{ID: id, Service: service, Domain: "d1", Version: "v1", Confidence: smallModelConfidence(10)})
 	}
 	w.sync()
 	w.faults(platformtest.NoFault, platformtest.ResetMiddle)
 	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").wholeStream(is)
-	models := modelsOf(w)
+	models := modelsRun(w)
 	is.Equal(len(models), 3)
 	large := 0
 	for _, m := range models {
@@ -83,13 +82,12 @@
 	is.Equal(large, 2)
 }
 
-// Symptom: an engine that reads a long prompt loses its streams.
-// Events: nothing comes from it for longer than the silence that is checked;
-// it still accepts connections.
-// Cause: silence taken for death.
+// Guards against an engine that reads a long prompt losing its streams because silence
+// is taken for a crash: it sends nothing for longer than silentAfter, but still accepts
+// connections.
 func TestASilentEngineThatAcceptsConnectionsKeepsItsRequests(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0)
+	w := newEnv(t, 0)
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1",
 		ReadingRate: map[string]time.Duration{largeM: 1500 * time.Millisecond}})
 	w.sync()
--- a/ingress/pick.go
+++ b/ingress/pick.go
@@ -17,25 +17,25 @@
 		return nil, place.Ranked{}, refuseNoEndpoint
 	}
 	choice := x.server.Rollouts.Choose(group, rollout.Request{ID: x.facts.ID, Session: x.facts.Session, Route: x.route.Name})
-	w := place.Want{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.facts.SharedTokens(), Affinity: x.affinity()}
-	w.Reading = x.server.Rates.Reading(x.modelName(), w.SharedTokens)
-	opens := time.Duration(0) // when the first of those at their limits takes a request
+	want := place.Want{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.facts.SharedTokens(), Affinity: x.affinity()}
+	want.Reading = x.server.Rates.Reading(x.modelName(), want.SharedTokens)
+	opensIn := time.Duration(0) // when the first of the endpoints at their limits accepts a request
 	if x.server.Limits.Any() {
-		w.Closed = x.closed(choice, &opens)
+		want.Closed = x.atLimit(choice, &opensIn)
 	}
-	ranked := x.server.Board.Rank(choice.First, w)
+	ranked := x.server.Board.Rank(choice.First, want)
 	if len(ranked) == 0 || ranked[0].Standing.Ejected {
-		ranked = append(ranked, x.server.Board.Rank(choice.Then, w)...)
+		ranked = append(ranked, x.server.Board.Rank(choice.Then, want)...)
 	}
 	if len(ranked) == 0 {
-		ranked = x.server.Board.Rank(x.lapsed(choice.LastResort), w)
+		ranked = x.server.Board.Rank(x.recentlyLapsed(choice.LastResort), want)
 	}
 	if len(ranked) == 0 {
-		if opens > 0 {
-			return nil, place.Ranked{}, refuseLimited(opens)
+		if opensIn > 0 {
+			return nil, place.Ranked{}, refuseLimited(opensIn)
 		}
 		if len(x.tried) > 0 {
-			return nil, place.Ranked{}, refuseFull
+			return nil, place.Ranked{}, refuseEndpointsFull
 		}
 		return nil, place.Ranked{}, refuseNoEndpoint
 	}
@@ -49,27 +49,27 @@
 	return group, best, nil
 }
 
-// closed reports endpoints that have no room for the request within their limits, and notes
-// when the first of them has. Where all name a limit, no request leaves room for others: those
-// that do would hardly be served at all.
-func (x *exchange) closed(choice rollout.Choice, opens *time.Duration) func(fleet.Endpoint) bool {
+// atLimit returns a filter for endpoints that have no room for the request within their limits,
+// and records in opensIn when the first of them has. If all endpoints announce a limit, no
+// request leaves room to others: those that do would hardly be served at all.
+func (x *exchange) atLimit(choice rollout.Choice, opensIn *time.Duration) func(fleet.Endpoint) bool {
 	limits := x.server.Limits
-	x.leaves = limits.Leaves(x.target(), x.server.Rates.Reading(x.modelName(), x.facts.Usage.Prompt))
+	x.headroom = limits.Leaves(x.target(), x.server.Rates.Reading(x.modelName(), x.facts.Usage.Prompt))
 	unlimited := func(ep fleet.Endpoint) bool { return limits.Limit(ep) == 0 }
 	if !slices.ContainsFunc(choice.First, unlimited) && !slices.ContainsFunc(choice.Then, unlimited) {
-		x.leaves = 0
+		x.headroom = 0
 	}
 	return func(ep fleet.Endpoint) bool {
-		wait := limits.Wait(ep, x.leaves)
-		if wait > 0 && (*opens == 0 || wait < *opens) {
-			*opens = wait
+		wait := limits.Wait(ep, x.headroom)
+		if wait > 0 && (*opensIn == 0 || wait < *opensIn) {
+			*opensIn = wait
 		}
 		return wait > 0
 	}
 }
 
-// lapsed are the endpoints whose registration ended a short while ago.
-func (x *exchange) lapsed(all []fleet.Lapsed) []fleet.Endpoint {
+// recentlyLapsed returns the endpoints whose registration ended less than LapsedFor ago.
+func (x *exchange) recentlyLapsed(all []fleet.Lapsed) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	now := x.server.Clock.Now()
 	for _, l := range all {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// affinity is equal for requests that read the same shared prompt with the
-// same model.
+// affinity returns a hash that is equal for requests with the same shared prompt
+// and model.
 func (x *exchange) affinity() uint64 {
 	shared := x.facts.SharedPrompt()
 	if len(shared) == 0 {
@@ -90,8 +90,8 @@
 	return place.Hash(shared[len(shared)-1].ID, x.modelName())
 }
 
-// urgency ranks the request at the engines: the customer's priority goes
-// before the route's. 5 is what an engine assumes.
+// urgency returns the request's priority at the engines: the customer's priority
+// overrides the route's. An engine that gets none assumes 5.
 func (x *exchange) urgency() (int, bool) {
 	if x.route.Kind != fleet.Streaming {
 		return 0, false
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// refusal is an answer of our own. All refusals but the failures below say
-// truly that the request did not run.
+// refusal is a response of the entry itself. Unless it is one of the failures below,
+// the request did not run.
 type refusal struct {
 	status int
 	code   string
-	// again is when the caller may come back; 0: not with this request.
-	again time.Duration
+	// retryAfter is when the caller may retry; 0: the request is not to be retried.
+	retryAfter time.Duration
 }
 
-// Retry-After of refusals: what has to happen first, and how long it takes.
+// Retry-After of refusals: how long it takes until a retry can succeed.
 const (
-	// configurationTakes: an entry that starts reads the store in some 10 ms, or
-	// in 250 when the store is sixty times as slow as usual.
-	configurationTakes = 300 * time.Millisecond
-	// otherEntryTakes: another entry serves at once.
-	otherEntryTakes = 50 * time.Millisecond
-	// freshnessTakes: a lost store is asked again every second.
-	freshnessTakes = 500 * time.Millisecond
-	// memoryTakes: bodies are held for as long as their requests run.
-	memoryTakes = 500 * time.Millisecond
-	// roomTakes: an endpoint that is full has room after a request or two.
-	roomTakes = 250 * time.Millisecond
-	// endpointTakes: an endpoint that crashed is noticed within a second.
-	endpointTakes = 400 * time.Millisecond
+	// configLoadTime: a starting entry reads the store in about 10 ms, or in
+	// 250 ms if the store is sixty times as slow as usual.
+	configLoadTime = 300 * time.Millisecond
+	// failoverTime: another entry serves the request at once.
+	failoverTime = 50 * time.Millisecond
+	// storeRetryTime: an unreachable store is retried every second.
+	storeRetryTime = 500 * time.Millisecond
+	// memoryReleaseTime: bodies are in memory for as long as their requests run.
+	memoryReleaseTime = 500 * time.Millisecond
+	// slotReleaseTime: a full endpoint has room after a request or two.
+	slotReleaseTime = 250 * time.Millisecond
+	// crashDetectionTime: a crashed endpoint is detected within a second.
+	crashDetectionTime = 400 * time.Millisecond
 )
 
 // Refusals: the request did not run.
 var (
-	refuseStopping   = &refusal{http.StatusServiceUnavailable, "stopping", otherEntryTakes}
-	refuseNoConfig   = &refusal{http.StatusServiceUnavailable, "no_configuration", configurationTakes}
-	refuseStale      = &refusal{http.StatusServiceUnavailable, "knowledge_stale", freshnessTakes}
-	refuseNoRoute    = &refusal{http.StatusNotFound, "no_route", 0}
-	refuseKey        = &refusal{http.StatusUnauthorized, "unknown_key", 0}
-	refuseBadTarget  = &refusal{http.StatusBadRequest, "bad_target", 0}
-	refuseNoID       = &refusal{http.StatusBadRequest, "no_request_id", 0}
-	refuseBody       = &refusal{http.StatusBadRequest, "body_broken", 0}
-	refuseTooLarge   = &refusal{http.StatusRequestEntityTooLarge, "body_too_large", 0}
-	refuseMemory     = &refusal{http.StatusServiceUnavailable, "bodies_fill_memory", memoryTakes}
-	refuseCrowded    = &refusal{http.StatusServiceUnavailable, "too_many_requests", otherEntryTakes}
-	refuseNoEndpoint = &refusal{http.StatusServiceUnavailable, "no_endpoint", endpointTakes}
-	refuseFull       = &refusal{http.StatusServiceUnavailable, "endpoints_full", roomTakes}
-	refuseDeadline   = &refusal{http.StatusServiceUnavailable, "deadline_before_start", 0}
+	refuseStopping        = &refusal{http.StatusServiceUnavailable, "stopping", failoverTime}
+	refuseNoConfig        = &refusal{http.StatusServiceUnavailable, "no_configuration", configLoadTime}
+	refuseStale           = &refusal{http.StatusServiceUnavailable, "knowledge_stale", storeRetryTime}
+	refuseNoRoute         = &refusal{http.StatusNotFound, "no_route", 0}
+	refuseUnknownKey      = &refusal{http.StatusUnauthorized, "unknown_key", 0}
+	refuseBadTarget       = &refusal{http.StatusBadRequest, "bad_target", 0}
+	refuseNoID            = &refusal{http.StatusBadRequest, "no_request_id", 0}
+	refuseBrokenBody      = &refusal{http.StatusBadRequest, "body_broken", 0}
+	refuseTooLarge        = &refusal{http.StatusRequestEntityTooLarge, "body_too_large", 0}
+	refuseMemory          = &refusal{http.StatusServiceUnavailable, "bodies_fill_memory", memoryReleaseTime}
+	refuseTooManyRequests = &refusal{http.StatusServiceUnavailable, "too_many_requests", failoverTime}
+	refuseNoEndpoint      = &refusal{http.StatusServiceUnavailable, "no_endpoint", crashDetectionTime}
+	refuseEndpointsFull   = &refusal{http.StatusServiceUnavailable, "endpoints_full", slotReleaseTime}
+	refuseDeadline        = &refusal{http.StatusServiceUnavailable, "deadline_before_start", 0}
 )
 
-// codeLimited is of refusals while all endpoints are at the limits that they name.
+// codeLimited is the code of refusals while all endpoints are at their announced limits.
 const codeLimited = "endpoints_limited"
 
 func refuseLimited(again time.Duration) *refusal {
@@ -71,7 +71,7 @@
 	Error string `json:"error"`
 }
 
-// refuse answers with a refusal or failure, if nothing was answered yet.
+// refuse responds with a refusal or failure, unless a response was already started.
 func (x *exchange) refuse(ref *refusal) {
 	x.outcome = ref.code
 	x.status = ref.status
@@ -79,14 +79,14 @@
 		return
 	}
 	x.started = true
-	x.lastIfStopping()
+	x.closeConnIfStopping()
 	h := x.w.Header()
-	if ref.again > 0 {
-		x.server.Wire.RetryAfter(h, ref.again)
+	if ref.retryAfter > 0 {
+		x.server.Wire.RetryAfter(h, ref.retryAfter)
 	}
 	body, err := json.Marshal(refusalBody{ref.code})
 	if err != nil {
-		body = nil // the status says it all
+		body = nil // the status is sufficient
 	}
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/ingress/report.go
+++ b/ingress/report.go
@@ -11,15 +11,15 @@
 	"github.com/lovageweir/lovageweir/place"
 )
 
-// metrics are the server's counters and histograms. Tags take few values:
-// never an id, a route or a customer.
+// metrics are the server's counters and histograms. To bound their cardinality, no
+// tag holds an id, a route or a customer.
 type metrics struct {
 	scope    tally.Scope
 	attempts map[place.Outcome]tally.Counter
 	answers  map[string]tally.Histogram
 }
 
-// latencyBuckets are in seconds, from an objective of 150 ms to a stream of
+// latencyBuckets, exported in seconds, cover objectives of 150 ms up to streams of
 // half a minute.
 var latencyBuckets = tally.DurationBuckets{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 150 * time.Millisecond, 250 * time.Millisecond,
@@ -52,13 +52,13 @@
 	m.scope.Tagged(map[string]string{"code": code}).Counter("refusals_total").Inc(1)
 }
 
-// logged writes the request's line, once: what came of it, and each
-// endpoint that it was sent to.
-func (x *exchange) logged() {
-	if x.done {
+// logRequest writes the request's log line, once: its outcome and each endpoint that
+// it was sent to.
+func (x *exchange) logRequest() {
+	if x.logged {
 		return
 	}
-	x.done = true
+	x.logged = true
 	s := x.server
 	took := s.Clock.Since(x.received)
 	s.metrics.answer(x.status, took)
@@ -75,7 +75,7 @@
 		attrs = append(attrs, slog.Int64("config", x.view.Config.Version))
 	}
 	if x.route != nil {
-		attrs = append(attrs, slog.String("route", x.route.Name), slog.Int64("allowed_ms", x.allowed().Milliseconds()))
+		attrs = append(attrs, slog.String("route", x.route.Name), slog.Int64("allowed_ms", x.timeLimit().Milliseconds()))
 	}
 	if x.customer != nil {
 		attrs = append(attrs, slog.String("customer", x.customer.Name))
@@ -90,14 +90,15 @@
 		attrs = append(attrs, slog.Int64("stopping_ms", since.Milliseconds()))
 	}
 	if len(x.attempts) > 0 {
-		attrs = append(attrs, slog.String("sends", x.sends()))
+		attrs = append(attrs, slog.String("sends", x.formatAttempts()))
 	}
 	s.Log.LogAttrs(x.r.Context(), slog.LevelInfo, "ingress: request ended.", attrs...)
 }
 
-// sends tells the attempts: endpoint, version, whether its registration had lapsed,
-// model, when it was sent, when the first event came, status and outcome.
-func (x *exchange) sends() string {
+// formatAttempts formats the attempts for the log: endpoint, version, whether its
+// registration had lapsed, model, when it was sent, when the first event came, status
+// and outcome.
+func (x *exchange) formatAttempts() string {
 	var b []byte
 	for i, a := range x.attempts {
 		if i > 0 {
@@ -120,14 +121,14 @@
 		b = append(b, "ms status="...)
 		b = strconv.AppendInt(b, int64(a.status), 10)
 		if a.events > 0 {
-			b = fmt.Appendf(b, " events=%d in %dms pause=%dms", a.events, a.stream.Milliseconds(), a.pause.Milliseconds())
+			b = fmt.Appendf(b, " events=%d in %dms pause=%dms", a.events, a.streamTime.Milliseconds(), a.longestPause.Milliseconds())
 		}
 		if a.confidence >= 0 {
 			b = append(b, " confidence="...)
 			b = strconv.AppendInt(b, int64(a.confidence), 10)
 		}
-		if a.kept != "" {
-			b = fmt.Appendf(b, " kept=%q", a.kept)
+		if a.keepReason != "" {
+			b = fmt.Appendf(b, " kept=%q", a.keepReason)
 		}
 		if a.load != nil {
 			b = fmt.Appendf(b, " load=%d+%d/%d", a.load.Running, a.load.Waiting, a.load.Slots)
@@ -140,9 +141,9 @@
 		if a.crashed {
 			b = append(b, " crashed"...)
 		}
-		if a.why != "" {
+		if a.cause != "" {
 			b = append(b, " ("...)
-			b = append(b, a.why...)
+			b = append(b, a.cause...)
 			b = append(b, ')')
 		}
 	}
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -25,19 +25,18 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Knowledge is what the server needs of the fleet; fleet.Follower
-// implements it.
+// Knowledge is the server's view of the fleet; fleet.Follower implements it.
 type Knowledge interface {
 	View() *fleet.View
-	// Age is how long ago the view was last known to be current.
+	// Age returns how long ago the view was last known to be current.
 	Age() (time.Duration, bool)
-	// Known is closed once a configuration is known.
+	// Known returns a channel that is closed once a configuration is known.
 	Known() <-chan struct{}
-	// StoreAway reports whether the store does not answer.
+	// StoreAway reports whether the store is known not to answer.
 	StoreAway() bool
 }
 
-// Deps is what a server is made of.
+// Deps are the dependencies and settings of a Server.
 type Deps struct {
 	Instance string
 	Domain   string
@@ -47,42 +46,41 @@
 	Rates    *place.Rates
 	Budget   *retry.Budget
 	Rollouts *rollout.Controller
-	// Quarantine knows the requests that crash endpoints.
+	// Quarantine holds the requests that crash endpoints.
 	Quarantine *quarantine.Table
-	// Limits are those that endpoints name.
+	// Limits are the rate limits that endpoints announce.
 	Limits *ratelimit.Limits
 	Ladder cascade.Ladder
-	// Gate counts the requests, and at a planned stop says which are taken.
+	// Gate counts the requests and decides which are accepted during a planned
+	// stop.
 	Gate *drain.Gate
-	// BodyMemory bounds the bytes of request bodies held at a time.
+	// BodyMemory bounds the total size of the request bodies in memory, in bytes.
 	BodyMemory int64
-	// MaxInFlight bounds the requests served at a time; 0: they are not
-	// bounded.
+	// MaxInFlight bounds the requests served at a time; 0: unlimited.
 	MaxInFlight int64
 	// LapsedFor is how long an endpoint whose registration ended without
-	// notice may still get requests that no other endpoint can take.
+	// notice still gets requests for which there is no other endpoint.
 	LapsedFor time.Duration
 	Clock     clockwork.Clock
 	Log       *slog.Logger
 	Scope     tally.Scope
 }
 
-// Server serves callers.
+// Server serves the caller API.
 type Server struct {
 	Deps
-	metrics metrics
-	bodies  atomic.Int64
-	probes  upstream.Probes
+	metrics   metrics
+	bodyBytes atomic.Int64
+	prober    upstream.Probes
 }
 
-// New returns a server.
 func New(d Deps) *Server { return &Server{Deps: d, metrics: newMetrics(d.Scope)} }
 
-// Ready reports whether the server wants new connections: it knows a
+// Ready reports whether the server accepts new connections: it has a
 // configuration and is not stopping.
 func (s *Server) Ready() bool { return !s.Gate.Stopping() && s.Fleet.View().Config != nil }
 
-// Handler returns the caller API: any method, host and path.
+// Handler returns the caller API, which takes any method, host and path.
 func (s *Server) Handler() http.Handler {
 	r := gin.New()
 	r.RedirectTrailingSlash = false
@@ -94,11 +92,11 @@
 func (s *Server) serve(w gin.ResponseWriter, r *http.Request) {
 	s.Gate.Enter()
 	defer s.Gate.Leave()
-	// Bound before anything is waited for, so that the end of a stop ends that too.
+	// Bound before any wait, so that the end of a stop ends the waits too.
 	ctx, unbind := s.Gate.Bound(r.Context())
 	defer unbind()
 	x := &exchange{server: s, w: w, r: r, received: s.Clock.Now(), facts: s.Wire.Request(r.Header)}
-	defer x.logged()
+	defer x.logRequest()
 	if ref := x.admit(ctx); ref != nil {
 		x.refuse(ref)
 		return
@@ -107,24 +105,24 @@
 		x.refuse(ref)
 		return
 	}
-	defer s.bodies.Add(-int64(len(x.body)))
+	defer s.bodyBytes.Add(-int64(len(x.body)))
 	x.fingerprint = x.fingerprintOf()
-	if ref := x.quarantined(); ref != nil {
+	if ref := x.checkQuarantine(); ref != nil {
 		x.refuse(ref)
 		return
 	}
-	ctx, cancel := context.WithDeadlineCause(ctx, time.Now().Add(x.left()), errDeadline)
+	ctx, cancel := context.WithDeadlineCause(ctx, time.Now().Add(x.remaining()), errDeadline)
 	defer cancel()
 	x.run(ctx)
 	x.answered.Store(x.outcome == "answered")
 }
 
-// errDeadline is the cause when a request's time is over.
+// errDeadline is the context's cause when a request's deadline has passed.
 var errDeadline = errors.New("deadline passed")
 
-// staleAfter is how old knowledge may be for an entry to say that a route or
-// key does not exist: the store was heard from at least every watch's wait.
-// An entry that knows less answers that it cannot tell now.
+// staleAfter is the age of the view beyond which an entry does not answer that a
+// route or key does not exist, but that it cannot tell now. While the store is
+// reachable, the view is confirmed at least once per wait of its watch.
 const staleAfter = 4 * time.Second
 
 func (s *Server) stale() bool {
@@ -140,13 +138,13 @@
 		return refuseStopping
 	}
 	if s.MaxInFlight > 0 && s.Gate.InFlight() > s.MaxInFlight {
-		return refuseCrowded
+		return refuseTooManyRequests
 	}
 	if x.view.Config == nil {
 		s.awaitConfig(ctx)
 		x.view = s.Fleet.View()
 	}
-	if cut(ctx) {
+	if cutByStop(ctx) {
 		return refuseStopping
 	}
 	if x.view.Config == nil {
@@ -162,7 +160,7 @@
 		}
 		return refuseNoRoute
 	}
-	if !s.Gate.Admits(x.allowed()) {
+	if !s.Gate.Admits(x.timeLimit()) {
 		return refuseStopping
 	}
 	x.customer = x.view.Customer(x.facts.Key)
@@ -170,63 +168,63 @@
 		if s.stale() {
 			return refuseStale
 		}
-		return refuseKey
+		return refuseUnknownKey
 	}
 	if x.facts.ID == "" {
 		return refuseNoID
 	}
-	x.deadline = x.received.Add(x.allowed())
+	x.deadline = x.received.Add(x.timeLimit())
 	s.Budget.Earn(x.target())
 	return nil
 }
 
-// awaitConfig waits a moment for the first configuration. After all entries
-// were killed, the callers that lost their answers come as soon as the first
-// listens, some milliseconds before it has read the store, and many come only
-// once: a refusal was their last answer. Where the store is known not to
-// answer there is nothing to wait for.
+// awaitConfig waits up to configLoadTime for the first configuration. After all
+// entries were killed, callers that lost their answers retry as soon as the first
+// entry listens, some milliseconds before it has read the store, and many retry
+// only once, so that a refusal was their last answer. It does not wait if the
+// store is known not to answer.
 func (s *Server) awaitConfig(ctx context.Context) {
 	if s.Fleet.StoreAway() {
 		return
 	}
 	select {
 	case <-s.Fleet.Known():
-	case <-s.Clock.After(configurationTakes):
+	case <-s.Clock.After(configLoadTime):
 	case <-ctx.Done():
 	}
 }
 
-// allowed is how long the request may take: what the caller waits, and not
-// more than the route's timeout.
-func (x *exchange) allowed() time.Duration {
-	allowed := x.route.Timeout
-	if allowed <= 0 {
-		allowed = longestRequest
+// timeLimit returns how long the request may take: the time that the caller
+// waits, but at most the route's timeout.
+func (x *exchange) timeLimit() time.Duration {
+	timeLimit := x.route.Timeout
+	if timeLimit <= 0 {
+		timeLimit = defaultRouteTimeout
 	}
 	if x.facts.Remaining > 0 {
-		allowed = min(allowed, x.facts.Remaining)
+		timeLimit = min(timeLimit, x.facts.Remaining)
 	}
-	return allowed
+	return timeLimit
 }
 
-// longestRequest bounds requests on routes without a timeout.
-const longestRequest = time.Minute
+// defaultRouteTimeout applies to routes without a timeout.
+const defaultRouteTimeout = time.Minute
 
-// readBody reads the whole body: what may have to be sent to a second
-// endpoint must be kept.
+// readBody reads the whole body into memory, as the request may have to be sent
+// to a second endpoint.
 func (x *exchange) readBody(ctx context.Context) *refusal {
 	limit := x.view.Config.Limits.BodyBytes
 	if limit > 0 && x.r.ContentLength > limit {
 		return refuseTooLarge
 	}
 	x.hasBody = x.r.ContentLength >= 0 && (x.r.Header.Get("Content-Length") != "") || x.r.ContentLength < 0
-	if x.r.ContentLength > 0 && x.server.bodies.Load()+x.r.ContentLength > x.server.BodyMemory {
+	if x.r.ContentLength > 0 && x.server.bodyBytes.Load()+x.r.ContentLength > x.server.BodyMemory {
 		return refuseMemory
 	}
 	var body io.Reader = x.r.Body
 	if x.r.ContentLength < 0 {
-		// Nobody has said how long it is: it may take what memory is left.
-		left := x.server.BodyMemory - x.server.bodies.Load()
+		// The length is unknown: the body may use the memory that is left.
+		left := x.server.BodyMemory - x.server.bodyBytes.Load()
 		if limit <= 0 || limit > left {
 			limit = max(0, left)
 		}
@@ -234,24 +232,25 @@
 	if limit > 0 {
 		body = io.LimitReader(body, limit+1)
 	}
-	letRead := drain.InterruptReading(ctx, x.w)
+	release := drain.InterruptReading(ctx, x.w)
 	raw, err := readSized(body, x.r.ContentLength)
-	letRead()
+	release()
 	switch {
-	case err != nil && cut(ctx):
+	case err != nil && cutByStop(ctx):
 		return refuseStopping
 	case err != nil:
-		return refuseBody
+		return refuseBrokenBody
 	}
 	if limit > 0 && int64(len(raw)) > limit {
 		return refuseTooLarge
 	}
-	x.server.bodies.Add(int64(len(raw)))
+	x.server.bodyBytes.Add(int64(len(raw)))
 	x.body = raw
 	return nil
 }
 
-// readSized reads all of r, into a buffer of the right size if it is told.
+// readSized reads all of r, into a buffer of the given size unless that is
+// negative.
 func readSized(r io.Reader, size int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(r)
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -17,15 +17,14 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// Symptom: a stop cuts off streams and calls, which may have run, without an
-// answer.
-// Events: they come late in a planned stop, when too little time is left for
-// them. What would not be answered before the end is refused as not run and sent
-// elsewhere; what is short enough is served, until there is no time for it either.
-// Cause: streams were refused from some moment on, calls never.
-func TestAStoppingEntryTakesOnlyWhatFits(t *testing.T) {
+// Guards against a planned stop cutting off streams and calls, which may have run,
+// without an answer because they came too late. Requests that may not end in time are
+// refused as not run, so that they can be sent to another entry; shorter ones are served
+// until there is no time for them either. Streams used to be refused from a fixed moment
+// on, calls never.
+func TestStoppingEntryAcceptsOnlyRequestsThatEndInTime(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newEnv(t, 1)
 	w.gate.Begin(drain.Times{TakesAll: 2 * time.Second, Stays: 3 * time.Second, End: 20 * time.Second})
 	is.True(!w.server.Ready())
 	long, short := []string{"X-Deadline-Remaining", "60000"}, []string{"X-Deadline-Remaining", "2000"}
@@ -50,14 +49,13 @@
 	refused("/post/x", short...)
 }
 
-// Symptom: the end of a stop closes connections, and callers cannot tell whether
-// their requests have run.
-// Events: a call and a stream are still at their endpoint when the stop's time is
-// over. The call is answered that it may have run; the stream has begun, and ends
-// so that it does not look whole; the log names the stop, not the callers.
-func TestWhatOutlastsAStopIsAnswered(t *testing.T) {
+// Guards against the end of a stop closing connections without an answer while a call
+// and a stream are still at their endpoint. The call is answered with a status that says
+// that it may have run; the stream has begun and breaks off recognisably; the log names
+// the stop as the cause, not the callers.
+func TestRequestsCutOffByAStopAreAnswered(t *testing.T) {
 	is := is.New(t)
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	w.put("op/config", platformtest.EncodeConfig(testConfig()))
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1", Events: 1000, Pause: 20 * time.Millisecond})
 	w.sync()
@@ -78,15 +76,16 @@
 	is.NoErr(a.err)
 	is.Equal(a.status, http.StatusBadGateway)
 	_, err = io.ReadAll(resp.Body)
-	is.True(err != nil) // it does not look whole
+	is.True(err != nil) // it does not look complete
 	waitFor(t, func() bool { return w.gate.InFlight() == 0 })
 	w.stop.Advance(time.Second)
 	<-drained
 	is.Equal(strings.Count(w.logs.String(), `"outcome":"cut_by_stop"`), 2)
 }
 
-// half sends a request's head and half of its body; rest is the other half.
-func half(w *world, path string) (conn net.Conn, rest string) {
+// sendPartialRequest sends a request's head and half of its body. It returns the
+// connection and the other half.
+func sendPartialRequest(w *testEnv, path string) (conn net.Conn, rest string) {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -98,9 +97,9 @@
 	return conn, "half"
 }
 
-// cutOff brings a stop to its end: it has cut off what was in flight, and waits for
-// that to be answered, or everything is.
-func (w *world) cutOff() {
+// endStop runs a stop to its end: it returns when the requests in flight were cut off and
+// their answers are awaited, or all were answered.
+func (w *testEnv) endStop() {
 	w.t.Helper()
 	waits, ended := context.WithCancel(w.t.Context())
 	go func() {
@@ -112,32 +111,29 @@
 	}
 }
 
-// Symptom: at the end of a stop a caller's connection closes without an answer.
-// Events: the caller sends its body slowly; the stop's time is over.
-// Cause: the end of a stop did not end the reading of a body.
-func TestACallerThatSendsSlowlyIsToldOfTheStop(t *testing.T) {
+// Guards against a caller that sends its body slowly getting no answer at the end of a
+// stop, which did not interrupt the reading of bodies.
+func TestSlowBodyIsRefusedAtTheEndOfAStop(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
-	conn, _ := half(w, "/post/x")
-	w.cutOff()
+	w := newEnv(t, 1)
+	conn, _ := sendPartialRequest(w, "/post/x")
+	w.endStop()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(len(w.runs()), 0)
 }
 
-// Symptom: a request reaches an endpoint after the stop's time is over, and its
-// caller is told that it may have run.
-// Events: it is admitted; its body arrives slowly; the stop's time is over as the
-// rest of the body arrives.
-// Cause: a context that was bound to the stop after its end was not ended yet
-// when it was first used: 7 to 14 of 300 such requests ran.
-func TestABodyThatEndsWithTheStopIsNotPassedOn(t *testing.T) {
+// Guards against a request reaching an endpoint after the stop's time is over, so that
+// its caller is told that it may have run. It is admitted, and the rest of its body
+// arrives as the time ends. A context bound to the stop after its end was not yet
+// cancelled when it was first used: 7 to 14 of 300 such requests ran.
+func TestBodyCompletedAfterTheStopIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
-		w := newWorld(t, 1)
-		conn, rest := half(w, "/post/x")
-		w.cutOff()
+		w := newEnv(t, 1)
+		conn, rest := sendPartialRequest(w, "/post/x")
+		w.endStop()
 		fmt.Fprint(conn, rest)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		is.NoErr(err)
@@ -146,48 +142,46 @@
 	}
 }
 
-// Symptom: a request gets no answer at the end of a stop.
-// Events: an entry that knows no configuration yet gets a request, and stops.
-// Cause: the wait for the configuration went on beyond the end of the stop, and
-// took longer than the last answers may.
+// Guards against a request getting no answer when an entry stops before it knows a
+// configuration: the wait for the configuration went on after the end of the stop, for
+// longer than the last answers may take.
 func TestAwaitingAConfigurationEndsWithTheStop(t *testing.T) {
 	is := is.New(t)
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	answered := make(chan answer, 1)
 	go func() { answered <- w.do(http.MethodGet, "/get/x", "") }()
 	waitFor(t, func() bool { return w.gate.InFlight() == 1 })
-	w.cutOff()
+	w.endStop()
 	a := <-answered
 	is.Equal(a.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(a.body, "stopping"))
 }
 
-// Symptom: the log puts on an endpoint what the stop has done.
-// Events: an answer that comes in pieces is partly read when the stop's time is
-// over.
-func TestAnAnswerCutWhileItIsReadIsNotTheEndpointsFault(t *testing.T) {
+// Guards against the log blaming an endpoint for an answer that was partly read when the
+// stop's time was over.
+func TestAnswerCutOffByAStopIsNotBlamedOnTheEndpoint(t *testing.T) {
 	is := is.New(t)
-	w := newEmptyWorld(t)
+	w := newUnconfiguredEnv(t)
 	w.put("op/config", platformtest.EncodeConfig(testConfig()))
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1", Events: 1000, Pause: 20 * time.Millisecond})
 	w.sync()
 	answered := make(chan answer, 1)
 	go func() { answered <- w.do(http.MethodPost, "/post/stream", "body") }()
 	waitFor(t, func() bool { return len(w.runs()) == 1 })
-	w.cutOff()
+	w.endStop()
 	is.Equal((<-answered).status, http.StatusBadGateway)
 	waitFor(t, func() bool { return strings.Contains(w.logs.String(), "request ended") })
 	is.True(strings.Contains(w.logs.String(), "abandoned (entry stops)"))
 }
 
-// Symptom: a caller's next request crosses the close of its connection.
-// Events: a request comes; the entry begins to stop; the request is refused.
-// Cause: whether an answer is the last on its connection was decided as the
-// request came, and not again as it was refused.
+// Guards against a caller's next request crossing the close of its connection. A request
+// arrives, the entry begins to stop, and the request is refused. Whether a response is the
+// last on its connection was decided when the request arrived, and not again when it was
+// refused.
 func TestARefusalDuringAStopIsTheLastOnItsConnection(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0)
-	conn, rest := half(w, "/post/x")
+	w := newEnv(t, 0)
+	conn, rest := sendPartialRequest(w, "/post/x")
 	w.gate.Begin(drain.Times{TakesAll: time.Second, Stays: time.Second, End: time.Second})
 	fmt.Fprint(conn, rest)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -16,9 +16,9 @@
 	"github.com/lovageweir/lovageweir/rollout"
 )
 
-// runStream answers a request with a stream of events. Only whole events are
-// passed on, as they come; so wherever an endpoint breaks off, the caller
-// stands at the edge of an event, and another endpoint can go on from there.
+// runStream answers a request with a stream of events. Only complete events are
+// forwarded, as they arrive. Wherever an endpoint breaks off, the caller is at an
+// event boundary, and another endpoint can resume from there.
 func (x *exchange) runStream(ctx context.Context) {
 	x.model = x.server.Ladder.First(len(x.route.Models))
 	lastID := x.facts.ResumeAfter
@@ -38,22 +38,22 @@
 		if err == nil {
 			lastID, err = x.relay(ctx, c, lastID)
 		}
-		if err == nil || !x.streamAgain(ctx, err) {
+		if err == nil || !x.shouldRetryStream(ctx, err) {
 			return
 		}
 	}
 }
 
-// relay passes an answer on; it returns the id of the last event passed on.
-func (x *exchange) relay(ctx context.Context, c *sent, lastID string) (string, error) {
-	if err := x.notRun(c); err != nil {
+// relay forwards an answer and returns the id of the last event forwarded.
+func (x *exchange) relay(ctx context.Context, c *upstreamCall, lastID string) (string, error) {
+	if err := x.endIfNotRun(c); err != nil {
 		return lastID, err
 	}
 	x.runs++
 	if !c.head.Success() {
-		return lastID, x.streamFailed(c)
+		return lastID, x.relayFailure(c)
 	}
-	if x.foreign(c) {
+	if x.mismatched(c) {
 		x.end(c, place.Broken, "answer is not this request's")
 		return lastID, errMayHaveRun
 	}
@@ -63,11 +63,11 @@
 	return x.relayEvents(ctx, c, lastID)
 }
 
-// streamFailed handles an answer that is no stream but a failure.
-func (x *exchange) streamFailed(c *sent) error {
+// relayFailure handles a response that is a failure instead of a stream.
+func (x *exchange) relayFailure(c *upstreamCall) error {
 	failed := c.head.Status >= http.StatusInternalServerError
 	x.observe(c, failed, 0)
-	if failed && x.mayTryAgain(retry.ForFailure) {
+	if failed && x.mayRetry(retry.ForFailure) {
 		x.end(c, place.Failed, "endpoint failed")
 		return errRetry
 	}
@@ -78,17 +78,17 @@
 	}
 	x.end(c, place.Failed, "endpoint failed")
 	x.outcome = "answered"
-	x.returnHead(c, int64(len(body)))
+	x.writeHead(c, int64(len(body)))
 	_, _ = x.w.Write(body) // a caller that left needs no answer
 	return nil
 }
 
-// errBroken: the stream cannot go on.
+// errBroken: the stream cannot be continued.
 var errBroken = errors.New("stream broke off")
 
-// escalate drops an answer that its model doubts, if nothing of it has been
-// passed on and a larger model may be asked.
-func (x *exchange) escalate(c *sent) bool {
+// escalate drops an answer of low confidence and selects a larger model, if nothing
+// has been forwarded yet and the larger model may be asked.
+func (x *exchange) escalate(c *upstreamCall) bool {
 	if x.started || x.modelName() == "" {
 		return false
 	}
@@ -105,11 +105,11 @@
 	if verdict == cascade.Ask && x.suspect() {
 		verdict = cascade.Suspect
 	}
-	if verdict == cascade.Ask && !x.mayTryAgain(retry.ForQuality) {
+	if verdict == cascade.Ask && !x.mayRetry(retry.ForQuality) {
 		verdict = cascade.NoRepeat
 	}
 	if verdict != cascade.Ask {
-		x.attempts[c.index].kept = verdict
+		x.attempts[c.attemptIndex].keepReason = verdict
 		return false
 	}
 	x.observe(c, false, c.ticket.First())
@@ -120,11 +120,11 @@
 	return true
 }
 
-// outlook is what an answer of another of the route's models would take; a refusal, if no
-// endpoint would be asked.
+// outlook estimates how long another of the route's models would take to answer. It
+// returns a refusal if no endpoint is available for it.
 func (x *exchange) outlook(model int) (cascade.Outlook, *refusal) {
 	o := cascade.Outlook{Elapsed: x.server.Clock.Since(x.received), Objective: x.route.Objective}
-	was := x.model
+	previous := x.model
 	x.model = model
 	_, best, ref := x.pick()
 	if ref == nil {
@@ -132,33 +132,33 @@
 		o.Busy = x.server.Board.Busy(x.target())
 		o.First = x.server.Rates.First(x.modelName(), x.facts.Usage.Prompt)
 	}
-	x.model = was
+	x.model = previous
 	return o, ref
 }
 
-// relayEvents passes the events on until the stream ends.
-func (x *exchange) relayEvents(ctx context.Context, c *sent, lastID string) (string, error) {
-	in := newEvents(c.resp.Body, x.server.Wire.EventID)
+// relayEvents forwards the events until the stream ends.
+func (x *exchange) relayEvents(ctx context.Context, c *upstreamCall, lastID string) (string, error) {
+	in := newEventReader(c.resp.Body, x.server.Wire.EventID)
 	first := true
 	for {
 		event, id, err := in.next()
 		if errors.Is(err, io.EOF) {
-			return lastID, x.ended(c, first)
+			return lastID, x.finishStream(c, first)
 		}
 		if err != nil {
-			return lastID, x.brokeOff(ctx, c, err)
+			return lastID, x.handleBrokenStream(ctx, c, err)
 		}
 		if first {
 			first = false
 			c.hold.Release()
 			x.observe(c, false, c.ticket.First())
 			if !x.started {
-				x.returnHead(c, -1)
+				x.writeHead(c, -1)
 			}
 		}
-		x.passed(c)
+		x.noteEvent(c)
 		if !follows(string(id), lastID) {
-			continue // the caller has it
+			continue // already forwarded
 		}
 		if _, err := x.w.Write(event); err != nil {
 			x.end(c, place.Abandoned, "caller left")
@@ -171,53 +171,53 @@
 	}
 }
 
-// passed notes an event of a stream.
-func (x *exchange) passed(c *sent) {
+// noteEvent records an event of a stream.
+func (x *exchange) noteEvent(c *upstreamCall) {
 	now := x.server.Clock.Now()
-	a := &x.attempts[c.index]
+	a := &x.attempts[c.attemptIndex]
 	if a.events == 0 {
-		c.streaming = now
+		c.firstEventAt = now
 	}
 	if a.events > 0 && a.events < paceEvents {
-		a.pauses[a.events-1] = now.Sub(c.streaming) - a.stream
+		a.firstPauses[a.events-1] = now.Sub(c.firstEventAt) - a.streamTime
 	}
 	a.events++
-	a.pause = max(a.pause, now.Sub(c.streaming)-a.stream)
-	a.stream = now.Sub(c.streaming)
+	a.longestPause = max(a.longestPause, now.Sub(c.firstEventAt)-a.streamTime)
+	a.streamTime = now.Sub(c.firstEventAt)
 	if a.events == paceEvents {
 		x.observePace(c)
 	}
 	x.server.Rollouts.Keep(x.facts.Session, c.group, c.endpoint.Version)
 	c.ticket.Heard()
-	c.watch.heard()
+	c.watch.eventReceived()
 }
 
-// paceEvents of a stream tell its pace: it is counted then, as a slow stream
-// may take most of a minute to its end.
+// paceEvents is how many events are needed to measure a stream's pace. The pace is
+// counted then, as a slow stream may take most of a minute to end.
 const paceEvents = 6
 
-// observePace counts how fast the events of a stream come for the roll-outs.
-func (x *exchange) observePace(c *sent) {
-	a := x.attempts[c.index]
-	pace := a.stream / time.Duration(a.events-1)
+// observePace counts the pace of a stream's events for the roll-outs.
+func (x *exchange) observePace(c *upstreamCall) {
+	a := x.attempts[c.attemptIndex]
+	pace := a.streamTime / time.Duration(a.events-1)
 	x.server.Rollouts.Observe(rollout.Answer{Group: c.group, Endpoint: c.endpoint, Route: x.route.Name, Model: x.modelName(), Took: pace, Pace: true,
 		ShortPause: a.shortPause()})
 }
 
-// shortPause is the second shortest of the first pauses: how fast the engine
-// generates while it reads no other prompts. The shortest may be of two events
-// that came together.
+// shortPause returns the second shortest of the first pauses, which shows how fast
+// the engine generates while it reads no other prompts. The shortest may lie between
+// two events that arrived together.
 func (a *attempt) shortPause() time.Duration {
-	pauses := a.pauses
-	slices.Sort(pauses[:])
-	return pauses[1]
+	firstPauses := a.firstPauses
+	slices.Sort(firstPauses[:])
+	return firstPauses[1]
 }
 
-// errCallerLeft: nobody waits for the answer.
+// errCallerLeft: the caller no longer waits for the answer.
 var errCallerLeft = errors.New("caller left")
 
-// follows reports whether an event comes after the last one passed on; ids
-// that are no numbers tell nothing.
+// follows reports whether an event comes after the last one forwarded. If an id is
+// not a number, it is assumed to.
 func follows(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
@@ -227,22 +227,22 @@
 	return err != nil || a > b
 }
 
-// ended handles the marked end of a stream.
-func (x *exchange) ended(c *sent, empty bool) error {
+// finishStream handles the regular end of a stream.
+func (x *exchange) finishStream(c *upstreamCall, empty bool) error {
 	x.end(c, place.Served, "")
 	if empty && !x.started {
-		x.returnHead(c, -1)
+		x.writeHead(c, -1)
 	}
 	x.outcome = "answered"
 	x.server.Quarantine.Served(x.fingerprint)
 	return nil
 }
 
-// brokeOff handles a stream that ended without its end.
-func (x *exchange) brokeOff(ctx context.Context, c *sent, err error) error {
-	if cut(ctx) {
+// handleBrokenStream handles a stream that broke off before its end.
+func (x *exchange) handleBrokenStream(ctx context.Context, c *upstreamCall, err error) error {
+	if cutByStop(ctx) {
 		x.end(c, place.Abandoned, "entry stops")
-		return errCut
+		return errCutByStop
 	}
 	if x.r.Context().Err() != nil {
 		x.end(c, place.Abandoned, "caller left")
@@ -258,47 +258,48 @@
 	}
 	x.end(c, place.Broken, err.Error())
 	stage := quarantine.Started
-	if x.attempts[c.index].events > 0 {
+	if x.attempts[c.attemptIndex].events > 0 {
 		stage = quarantine.Running
 	}
 	x.noteCrash(c, stage)
 	return errMayHaveRun
 }
 
-// streamAgain decides after a send that did not give the whole stream.
-func (x *exchange) streamAgain(ctx context.Context, err error) bool {
+// shouldRetryStream reports whether to send the request again after a send that did
+// not give the complete stream. If not, the caller's response is ended.
+func (x *exchange) shouldRetryStream(ctx context.Context, err error) bool {
 	if !x.started {
-		return x.again(ctx, err)
+		return x.shouldRetry(ctx, err)
 	}
 	switch {
-	case cut(ctx):
-		x.breakOff("cut_by_stop")
+	case cutByStop(ctx):
+		x.abortResponse("cut_by_stop")
 	case errors.Is(err, errCallerLeft) || x.r.Context().Err() != nil:
-		x.breakOff("caller_left")
+		x.abortResponse("caller_left")
 	case errors.Is(err, errRetry):
 		return true
 	case errors.Is(err, errNotSent):
-		if x.mayReachElsewhere() {
+		if x.mayRetryUnsent() {
 			return true
 		}
 	case errors.Is(err, errNotRun):
-		if x.mayTryElsewhere() {
+		if x.mayRetryRefused() {
 			return true
 		}
 	case errors.Is(err, errDeadline):
-		x.breakOff("deadline")
+		x.abortResponse("deadline")
 	case errors.Is(err, errBroken):
-	case x.mayTryAgain(retry.ForFailure):
+	case x.mayRetry(retry.ForFailure):
 		return true
 	}
-	x.breakOff("broke_off")
+	x.abortResponse("broke_off")
 	return false
 }
 
-// giveUpStream ends a stream that no endpoint can go on with.
+// giveUpStream ends a stream that no endpoint can continue.
 func (x *exchange) giveUpStream(ref *refusal) {
 	if x.started {
-		x.breakOff("broke_off_" + ref.code)
+		x.abortResponse("broke_off_" + ref.code)
 	}
 	x.giveUp(ref)
 }
--- a/ingress/trial.go
+++ b/ingress/trial.go
@@ -17,24 +17,24 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Which requests are copied for a version's trial under load, and for how
-// long: what fills an endpoint is many streams at a time, not prompts to read.
+// Limits of the requests that are copied for a version's trial under load: the load
+// is to be many concurrent streams, not prompts to read.
 const (
-	// trialPrompt is the longest time that an engine may need for the prompt of
-	// a copy: it keeps the endpoint's other requests waiting as long.
-	trialPrompt = 100 * time.Millisecond
-	// trialOutput is the least number of tokens generated for which a stream
-	// lasts long enough to run beside others.
-	trialOutput = 64
-	// trialLongest bounds a copy.
-	trialLongest = 4 * time.Second
-	// trialUrgency lets callers' requests go first.
+	// maxTrialPromptTime is the longest time that an engine may need to read the
+	// prompt of a copy. The endpoint's other requests wait as long.
+	maxTrialPromptTime = 100 * time.Millisecond
+	// minTrialOutput is the least number of generated tokens for which a stream
+	// lasts long enough to run concurrently with others.
+	minTrialOutput = 64
+	// maxTrialDuration bounds the duration of a copy.
+	maxTrialDuration = 4 * time.Second
+	// trialUrgency ranks copies behind the requests of callers.
 	trialUrgency = 9
 )
 
 // copyForTrial sends a copy of the request to an endpoint of a new version that
-// is to be tried under load, if there is one now. Nobody waits for its answer.
-// The copy is one of the runs that the route allows, and ends when the caller
+// is to be tried under load, if there is one now. The answer to it is discarded.
+// The copy counts as one of the route's attempts, and is cancelled if the caller
 // leaves before it has its own answer.
 func (x *exchange) copyForTrial(g *fleet.Group) {
 	if !x.mayCopy() {
@@ -47,7 +47,7 @@
 	}
 	x.copied = true
 	x.runs++
-	d := call.Directions{Endpoint: trial.Endpoint.Name, Remaining: min(x.left(), trialLongest), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
+	d := call.Directions{Endpoint: trial.Endpoint.Name, Remaining: min(x.remaining(), maxTrialDuration), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
 	if x.customer != nil {
 		d.Customer = x.customer.Name
 	}
@@ -59,23 +59,23 @@
 			cancel()
 		}
 	})
-	id, of := x.facts.ID, x.fingerprint
+	id, fp := x.facts.ID, x.fingerprint
 	go func() {
 		defer cancel()
-		s.runCopy(ctx, id, of, g, trial, req)
+		s.runCopy(ctx, id, fp, g, trial, req)
 	}()
 }
 
-// mayCopy reports whether the request is one to copy: it may be repeated, with
-// a run left for a failure, and makes an endpoint busy by its answer. A process
-// that stops copies none: the copy would end with it. Nor is one copied that may have
-// crashed an endpoint.
+// mayCopy reports whether the request qualifies as a copy: it may be repeated, an
+// attempt remains in case of a failure, and its answer keeps an endpoint busy. A
+// stopping process sends no copies, as they would end with it. A request that may
+// have crashed an endpoint is not copied either.
 func (x *exchange) mayCopy() bool {
 	return !x.copied && !x.suspect() && !x.server.Gate.Stopping() && x.route.MayRepeat() && x.runs+2 < x.route.MaxAttempts && x.facts.ResumeAfter == "" &&
-		x.facts.Usage.Output >= trialOutput && x.server.Rates.Reading(x.trialModel(), x.facts.Usage.Prompt) <= trialPrompt
+		x.facts.Usage.Output >= minTrialOutput && x.server.Rates.Reading(x.trialModel(), x.facts.Usage.Prompt) <= maxTrialPromptTime
 }
 
-// trialModel is the largest of the route's models: it runs the longest.
+// trialModel returns the largest of the route's models, which runs the longest.
 func (x *exchange) trialModel() string {
 	if len(x.route.Models) == 0 || x.facts.Model != call.AnyModel {
 		return ""
@@ -83,14 +83,14 @@
 	return x.route.Models[len(x.route.Models)-1]
 }
 
-func (s *Server) runCopy(ctx context.Context, id string, of quarantine.Fingerprint, g *fleet.Group, trial rollout.Trial, req *upstream.Request) {
+func (s *Server) runCopy(ctx context.Context, id string, fingerprint quarantine.Fingerprint, g *fleet.Group, trial rollout.Trial, req *upstream.Request) {
 	ep := trial.Endpoint
 	begun := s.Clock.Now()
 	ticket := s.Board.Begin(ep, 0)
 	resp, err := upstream.Send(ctx, req)
 	if err != nil {
 		ticket.End(place.Abandoned)
-		s.noteCopyCrash(ctx, id, of, ep, err, quarantine.Waiting)
+		s.noteCopyCrash(ctx, id, fingerprint, ep, err, quarantine.Waiting)
 		s.Log.Info("ingress: copy not answered.", "id", id, "endpoint", ep.ID, "version", ep.Version, "error", err, "ms", s.Clock.Since(begun).Milliseconds())
 		return
 	}
@@ -110,17 +110,17 @@
 	if read > 0 {
 		stage = quarantine.Running
 	}
-	s.noteCopyCrash(ctx, id, of, ep, err, stage)
+	s.noteCopyCrash(ctx, id, fingerprint, ep, err, stage)
 	s.Log.Info("ingress: copy ended.", "id", id, "endpoint", ep.ID, "version", ep.Version, "status", resp.Status, "not_run", head.NotRun,
 		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "whole", err == nil, "ms", s.Clock.Since(begun).Milliseconds())
 }
 
-// noteCopyCrash notes that a copy broke off, if its endpoint crashed. One whose caller left
-// was ended here.
-func (s *Server) noteCopyCrash(ctx context.Context, id string, of quarantine.Fingerprint, ep fleet.Endpoint, err error, stage quarantine.Stage) {
+// noteCopyCrash records that the endpoint of a copy crashed, if it did. It ignores copies
+// that this entry cancelled, such as those whose caller left.
+func (s *Server) noteCopyCrash(ctx context.Context, id string, fingerprint quarantine.Fingerprint, ep fleet.Endpoint, err error, stage quarantine.Stage) {
 	var notSent *upstream.NotSentError
 	if err == nil || ctx.Err() != nil || errors.As(err, &notSent) {
 		return
 	}
-	s.noteCrash(id, of, ep, stage)
+	s.noteCrash(id, fingerprint, ep, stage)
 }
--- a/ingress/watch.go
+++ b/ingress/watch.go
@@ -12,101 +12,102 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Silence of an endpoint. An engine may well say nothing for seconds while it
-// reads the long prompts of others, so silence alone proves nothing; but then
-// it still accepts a connection. One that is dead or cut off does not, and its
-// requests are better off elsewhere than waiting for their deadlines.
+// Detection of silent endpoints. An engine may send nothing for seconds while it
+// reads long prompts of other requests, so silence alone proves nothing, but it still
+// accepts connections. One that is dead or partitioned does not, and its requests are
+// sent elsewhere instead of waiting for their deadlines.
 const (
-	// silentAfter is how long nothing may come from an endpoint, on any of
-	// this entry's connections, before its reachability is checked.
+	// silentAfter is how long an endpoint may send nothing, on any of this entry's
+	// connections, before its reachability is checked.
 	silentAfter = 800 * time.Millisecond
-	// silentInCutDomain is enough where the endpoint's whole failure domain
-	// seems to be cut off.
-	silentInCutDomain = 400 * time.Millisecond
-	// checkAgain is when one that was reachable is checked again.
-	checkAgain = time.Second
-	// watchEvery is how often a waiting request looks.
-	watchEvery = 300 * time.Millisecond
-	// lostGaps pauses of the longest that is on time, without an event, mean
-	// that the endpoint has lost the stream, though it answers others.
-	lostGaps = 2.5
-	// An answer may be lost with its connection silent, and the endpoint well.
-	// A stream that has no first event after several times what it should
-	// take, by the work outstanding there and its own prompt, is sent to
-	// another endpoint. What is expected knows nothing of entries that are cut
-	// off and little of a new endpoint, hence the factor, the slack, and at the
-	// least half of the objective, which leaves the other half.
-	startFactor = 4
-	startSlack  = 500 * time.Millisecond
-	startLeast  = 0.5
+	// silentInUnreachableDomain replaces silentAfter, without a check, while the
+	// endpoint's whole failure domain seems to be partitioned.
+	silentInUnreachableDomain = 400 * time.Millisecond
+	// recheckInterval is the least time between two checks of an endpoint.
+	recheckInterval = time.Second
+	// watchInterval is how often a waiting request checks its endpoint.
+	watchInterval = 300 * time.Millisecond
+	// maxGapFactor is how many times the route's longest pause between events may
+	// pass without one before the endpoint is taken to have lost the stream, even
+	// if it answers other requests.
+	maxGapFactor = 2.5
+	// An answer may be lost without a sign on the connection while the endpoint is
+	// healthy. A stream without a first event after several times the expected time,
+	// which follows from the endpoint's outstanding work and the prompt, is sent to
+	// another endpoint. The estimate does not include the work of entries that are
+	// partitioned and is poor for a new endpoint, hence the factor, the slack, and a
+	// minimum of half of the objective, which leaves the other half.
+	firstEventFactor   = 4
+	firstEventSlack    = 500 * time.Millisecond
+	firstEventMinShare = 0.5
 )
 
-// watchdog ends a call whose endpoint is silent for too long. Its lock is taken
-// before the budget's.
+// watchdog cancels a call whose endpoint is silent for too long. Its lock is
+// acquired before the budget's.
 type watchdog struct {
 	server   *Server
 	cancel   context.CancelFunc
 	limits   watchLimits
 	endpoint fleet.Endpoint
 
-	mu      sync.Mutex
-	timer   clockwork.Timer
-	stopped bool
-	begun   time.Time
-	last    time.Time // when the last event came; zero: none has
-	reason  string    // why the call was ended
-	paid    bool      // the repeat that the end calls for was taken from the budget
-	// pay takes a repeat from the budget.
-	pay func() bool
+	mu       sync.Mutex
+	timer    clockwork.Timer
+	stopped  bool
+	begun    time.Time
+	last     time.Time // when the last event came; zero: none did
+	reason   string    // why the call was cancelled
+	reserved bool      // the retry of the cancelled call was taken from the budget
+	// reserveRetry takes a retry from the budget.
+	reserveRetry func() bool
 }
 
-// watchLimits are how long a call may go without an answer; zero: for as
-// long as the request may take.
+// watchLimits bound how long a call may go without an answer; 0: as long as the
+// request may take.
 type watchLimits struct {
-	answer time.Duration // until the whole answer
+	answer time.Duration // until the complete answer
 	first  time.Duration // until the first event
 	gap    time.Duration // between events
-	// reachable: the call ends when its endpoint turns out to be unreachable.
+	// reachable: the call is cancelled when its endpoint is found unreachable.
 	reachable bool
 }
 
-// limits for the next attempt of a request.
+// limits returns the limits for the next attempt of the request.
 func (x *exchange) limits(id fleet.EndpointID) watchLimits {
 	if !x.route.MayRepeat() || x.runs+1 >= x.route.MaxAttempts {
 		return watchLimits{}
 	}
 	if x.route.Kind != fleet.Streaming {
-		return watchLimits{answer: min(3*x.route.Objective, x.left()*2/3)}
+		return watchLimits{answer: min(3*x.route.Objective, x.remaining()*2/3)}
 	}
-	l := watchLimits{reachable: true, gap: time.Duration(lostGaps * float64(x.route.MaxGap))}
+	l := watchLimits{reachable: true, gap: time.Duration(maxGapFactor * float64(x.route.MaxGap))}
 	expected := x.server.Board.Standing(id).Wait + x.server.Rates.First(x.modelName(), x.facts.Usage.Prompt)
-	l.first = max(time.Duration(startLeast*float64(x.route.Objective)), startFactor*expected+startSlack)
+	l.first = max(time.Duration(firstEventMinShare*float64(x.route.Objective)), firstEventFactor*expected+firstEventSlack)
 	return l
 }
 
-// watch starts a watchdog over a call.
-func (x *exchange) watch(c *sent, cancel context.CancelFunc) *watchdog {
+// watch starts a watchdog for a call.
+func (x *exchange) watch(c *upstreamCall, cancel context.CancelFunc) *watchdog {
 	w := &watchdog{server: x.server, cancel: cancel, limits: x.limits(c.endpoint.ID), endpoint: c.endpoint, begun: x.server.Clock.Now()}
-	w.pay = func() bool { return x.server.Budget.Take(x.target(), retry.ForFailure) }
+	w.reserveRetry = func() bool { return x.server.Budget.Take(x.target(), retry.ForFailure) }
 	if w.limits == (watchLimits{}) {
 		w.stopped = true
 		return w
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = w.server.Clock.AfterFunc(w.every(), w.look)
+	w.timer = w.server.Clock.AfterFunc(w.interval(), w.check)
 	return w
 }
 
-func (w *watchdog) every() time.Duration {
+func (w *watchdog) interval() time.Duration {
 	if w.limits.answer > 0 {
 		return w.limits.answer
 	}
-	return watchEvery
+	return watchInterval
 }
 
-// heard notes an event.
-func (w *watchdog) heard() {
+// eventReceived records that an event came.
+func (w *watchdog) eventReceived() {
 	now := w.server.Clock.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,14 +123,14 @@
 	}
 }
 
-// why is the reason for which the call was ended; empty: it was not.
-func (w *watchdog) why() string {
+// cause returns why the call was cancelled; empty: it was not.
+func (w *watchdog) cause() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reason
 }
 
-func (w *watchdog) look() {
+func (w *watchdog) check() {
 	unreachable := w.limits.reachable && w.server.unreachable(w.endpoint, w.begun)
 	now := w.server.Clock.Now()
 	w.mu.Lock()
@@ -139,7 +140,7 @@
 	}
 	reason := w.limits.exceeded(now.Sub(w.begun), w.sinceLastLocked(now), unreachable)
 	if reason == "" || !w.mayEndLocked(unreachable) {
-		w.timer = w.server.Clock.AfterFunc(w.every(), w.look)
+		w.timer = w.server.Clock.AfterFunc(w.interval(), w.check)
 		return
 	}
 	w.reason = reason
@@ -147,29 +148,29 @@
 	w.cancel()
 }
 
-// mayEndLocked reports whether a call that has passed a limit may be ended. One
-// whose endpoint cannot be reached is lost; any other may still be answered,
-// and ending it helps only if it can be sent elsewhere. When half of
-// the endpoints had crashed the others were late with everything, the budget of
-// repeats was used up, and in ten seconds 1,100 requests were taken from
-// endpoints that were about to answer, to fail.
+// mayEndLocked reports whether a call that has exceeded a limit may be cancelled. A
+// call to an unreachable endpoint is lost. Any other may still be answered, and
+// cancelling it helps only if a retry can be taken from the budget. After half of the
+// endpoints had crashed, the others were late with everything and the budget was
+// used up; 1,100 requests that were about to be answered were cancelled in ten
+// seconds and failed.
 func (w *watchdog) mayEndLocked(unreachable bool) bool {
 	if w.limits.reachable && unreachable {
 		return true
 	}
-	w.paid = w.pay()
-	return w.paid
+	w.reserved = w.reserveRetry()
+	return w.reserved
 }
 
-// paidFor reports whether the repeat that the call's end calls for was taken
+// hasReservedRetry reports whether the retry of the cancelled call was already taken
 // from the budget.
-func (w *watchdog) paidFor() bool {
+func (w *watchdog) hasReservedRetry() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.paid
+	return w.reserved
 }
 
-// sinceLastLocked is the time since the last event; negative: none has come.
+// sinceLastLocked returns the time since the last event; negative: none has come.
 func (w *watchdog) sinceLastLocked(now time.Time) time.Duration {
 	if w.last.IsZero() {
 		return -1
@@ -177,7 +178,7 @@
 	return now.Sub(w.last)
 }
 
-// exceeded says which limit a call has passed; empty: none.
+// exceeded returns which limit a call has exceeded; empty: none.
 func (l watchLimits) exceeded(waited, sinceLast time.Duration, unreachable bool) string {
 	switch {
 	case l.answer > 0 && waited >= l.answer:
@@ -197,13 +198,13 @@
 func (s *Server) unreachable(ep fleet.Endpoint, begun time.Time) bool {
 	id := ep.ID
 	if s.Board.LostSince(id, begun) {
-		return true // another request found out
+		return true // found by the watchdog of another request
 	}
 	silent := s.Board.Standing(id).Silent
-	if s.Board.DomainAway(ep.Domain) && silent > silentInCutDomain {
+	if s.Board.DomainAway(ep.Domain) && silent > silentInUnreachableDomain {
 		return true
 	}
-	if silent < silentAfter || !s.Board.MayCheck(id, checkAgain) {
+	if silent < silentAfter || !s.Board.MayCheck(id, recheckInterval) {
 		return false
 	}
 	if err := upstream.Check(ep.Address); err != nil {
--- a/ingress/watch_test.go
+++ b/ingress/watch_test.go
@@ -8,26 +8,24 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: when endpoints are late with everything, requests fail that were
-// about to be answered.
-// Events: a call passes its limit; it is ended to be sent elsewhere, and then
-// the budget of repeats turns out to be used up.
-// A call is ended only once its repeat is paid for; until then it may be
-// answered.
-func TestALateCallIsEndedOnlyIfItCanBeRepeated(t *testing.T) {
+// Guards against requests failing that were about to be answered, when endpoints are
+// late with everything: a call exceeds its limit and is cancelled to be sent elsewhere,
+// and then the retry budget is used up. A call is cancelled only after its retry was
+// taken from the budget.
+func TestLateCallIsCancelledOnlyIfItCanBeRetried(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	budget, ended := false, false
 	w := &watchdog{server: &Server{Deps: Deps{Clock: clock}}, limits: watchLimits{answer: time.Second}, begun: clock.Now(),
-		cancel: func() { ended = true }, pay: func() bool { return budget }}
+		cancel: func() { ended = true }, reserveRetry: func() bool { return budget }}
 	clock.Advance(2 * time.Second)
-	w.look()
+	w.check()
 	is.True(!ended)
-	is.Equal(w.why(), "")
-	is.True(!w.paidFor())
+	is.Equal(w.cause(), "")
+	is.True(!w.hasReservedRetry())
 	budget = true
-	w.look()
+	w.check()
 	is.True(ended)
-	is.Equal(w.why(), "no answer in time")
-	is.True(w.paidFor())
+	is.Equal(w.cause(), "no answer in time")
+	is.True(w.hasReservedRetry())
 }
