--- a/agent/agent.go
+++ b/agent/agent.go
@@ -33,29 +33,31 @@
 	"github.com/lovageweir/lovageweir/settings"
 )
 
-// Loop intervals and shares of duties.
+// Loop intervals, and how duties are divided among entries.
 const (
-	// watchHolders is how many entries of a failure domain watch the KV.
-	watchHolders = 2
-	// ledgerGroups is how many groups a failure domain's entries fall into,
-	// each with a holder that writes its bills. One holder for all would spend
-	// over 5% of a core at the target size (docs/CAPACITY.md).
+	// watchersPerDomain is the number of entries per failure domain that watch the KV.
+	watchersPerDomain = 2
+	// ledgerGroups is the number of groups into which the entries of a failure
+	// domain are divided, each with one holder that writes its billing records. A
+	// single holder would use over 5% of a core at the target size
+	// (docs/CAPACITY.md).
 	ledgerGroups = 4
-	// housekeeping is how often halts are persisted, claims released and
-	// dead entries' requests billed.
-	housekeeping = time.Second
+	// housekeepingInterval is how often halts are persisted, claims released and
+	// the requests of dead entries billed.
+	housekeepingInterval = time.Second
 )
 
-// life is this run of the process: later runs have higher ones.
-type life int64
+// incarnation identifies one run of the process; later runs have higher values.
+type incarnation int64
 
-// Module is the entry daemon's fx module. fx stops hooks in reverse order,
-// so serve, which drains, comes last: what it needs still runs then.
+// Module is the fx module of the entry daemon. fx runs stop hooks in reverse
+// order, so serve is invoked last: the loops that it needs still run while it
+// drains.
 func Module(set *settings.Entry) fx.Option {
 	return fx.Options(
 		fx.Supply(set),
 		fx.Provide(
-			func() life { return life(time.Now().UnixNano()) },
+			func() incarnation { return incarnation(time.Now().UnixNano()) },
 			clockwork.NewRealClock,
 			newLogger,
 			newMetrics,
@@ -86,63 +88,64 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With("instance", s.Instance, "domain", s.Domain)
 }
 
-// metricsInterval is how often counters reach the metrics address.
+// metricsInterval is how often counters are reported to the metrics endpoint.
 const metricsInterval = time.Second
 
 func newMetrics(lc fx.Lifecycle) *telemetry.Metrics { return telemetry.New(lc, metricsInterval) }
 
 func newKV(s *settings.Entry) kv.Client { return etcdv3.New(s.KV, &http.Client{}) }
 
-func newMembers(s *settings.Entry, l life, clock clockwork.Clock) *peers.Table {
-	return peers.NewTable(&peerpb.Member{Instance: s.Instance, Domain: s.Domain, Address: s.Advertise, Life: int64(l)}, clock,
-		rand.NewPCG(uint64(l), rand.Uint64()))
+func newMembers(s *settings.Entry, inc incarnation, clock clockwork.Clock) *peers.Table {
+	return peers.NewTable(&peerpb.Member{Instance: s.Instance, Domain: s.Domain, Address: s.Advertise, Life: int64(inc)}, clock,
+		rand.NewPCG(uint64(inc), rand.Uint64()))
 }
 
 func newWatcher(c kv.Client, members *peers.Table, clock clockwork.Clock, log *slog.Logger) *configwatch.Watcher {
 	return configwatch.New(c, clock, log.With("part", "config"),
-		configwatch.HoldsWhen(func() bool { return members.Holds("config", watchHolders) }))
+		configwatch.HoldsWhen(func() bool { return members.Holds("config", watchersPerDomain) }))
 }
 
-func newGuard(s *settings.Entry, l life, w *configwatch.Watcher, clock clockwork.Clock, log *slog.Logger) *guard.Guard {
-	g := guard.New(s.Instance, int64(l), clock, log.With("part", "guard"))
+func newGuard(s *settings.Entry, inc incarnation, w *configwatch.Watcher, clock clockwork.Clock, log *slog.Logger) *guard.Guard {
+	g := guard.New(s.Instance, int64(inc), clock, log.With("part", "guard"))
 	w.OnKey(g.Stored)
 	return g
 }
 
-func newPoller(s *settings.Entry, l life, t *endpoints.Table, w *configwatch.Watcher, members *peers.Table, log *slog.Logger) *endpoints.Poller {
-	return endpoints.NewPoller(t, w.Table, members, s.Domain, int64(l), s.Instances, log.With("part", "endpoints"))
+func newPoller(s *settings.Entry, inc incarnation, t *endpoints.Table, w *configwatch.Watcher, members *peers.Table, log *slog.Logger) *endpoints.Poller {
+	return endpoints.NewPoller(t, w.Table, members, s.Domain, int64(inc), s.Instances, log.With("part", "endpoints"))
 }
 
 func newQuarantine(s *settings.Entry, clock clockwork.Clock, log *slog.Logger) *quarantine.Table {
 	return quarantine.New(quarantine.Deps{Clock: clock, Log: log.With("part", "quarantine")})
 }
 
-// newLimits keeps limits for this entry alone: one entry uses each limited back end.
+// newLimits tracks limits without sharing them among entries: each rate-limited back
+// end is used by one entry only.
 func newLimits(s *settings.Entry, clock clockwork.Clock, log *slog.Logger) *ratelimit.Limits {
 	self := []fleet.Entry{{Instance: s.Instance, Domain: s.Domain}}
 	return ratelimit.New(ratelimit.Deps{Instance: s.Instance, Domain: s.Domain, Entries: func() []fleet.Entry { return self }, Clock: clock, Log: log.With("part", "ratelimit")})
 }
 
-// newGossip puts together what entries tell each other.
+// newGossip registers the gossip topics that entries exchange.
 func newGossip(s *settings.Entry, members *peers.Table, dial peers.Dial, w *configwatch.Watcher, gd *guard.Guard, t *endpoints.Table, p *endpoints.Poller, q *quarantine.Table, rl *ratelimit.Limits, log *slog.Logger) *peers.Gossip {
 	seeds := func() []string { return append(p.Seeds(), s.Peers...) }
 	g := peers.NewGossip(members, seeds, dial, log.With("part", "peers"))
-	g.Add(configwatch.NewTopic(w, dial), gd.Topic(members.Local), endpoints.NewTopic(t, w.Table, s.Domain), suspects{q}, limits{rl})
+	g.Add(configwatch.NewTopic(w, dial), gd.Topic(members.Local), endpoints.NewTopic(t, w.Table, s.Domain), suspectTopic{q}, limitTopic{rl})
 	w.OnNews(g.Rumour)
 	gd.OnNews(g.Rumour)
 	return g
 }
 
-func newLedger(s *settings.Entry, l life, c kv.Client, members *peers.Table, clock clockwork.Clock, log *slog.Logger) *ledger.Ledger {
+func newLedger(s *settings.Entry, inc incarnation, c kv.Client, members *peers.Table, clock clockwork.Clock, log *slog.Logger) *ledger.Ledger {
 	holder := func() bool { return members.Holds(ledgerGroup(s.Instance), 1) }
-	return ledger.New(c, s.Instance, int64(l), holder, clock, log.With("part", "ledger"))
+	return ledger.New(c, s.Instance, int64(inc), holder, clock, log.With("part", "ledger"))
 }
 
-func newDuty(s *settings.Entry, l life, c kv.Client, clock clockwork.Clock) *duty.Duty {
-	return duty.New(c, "orders/"+s.Domain, fmt.Sprintf("%s/%d", s.Instance, l), clock)
+func newDuty(s *settings.Entry, inc incarnation, c kv.Client, clock clockwork.Clock) *duty.Duty {
+	return duty.New(c, "orders/"+s.Domain, fmt.Sprintf("%s/%d", s.Instance, inc), clock)
 }
 
-// ledgerGroup is the duty of writing an instance's bills.
+// ledgerGroup returns the name of the duty to write an instance's billing records.
 func ledgerGroup(instance string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(instance))
@@ -151,14 +154,14 @@
 
 func newClaims(c kv.Client, clock clockwork.Clock) *idem.Claims { return idem.New(c, clock) }
 
-func newGateway(s *settings.Entry, l life, w *configwatch.Watcher, t *endpoints.Table, bill *ledger.Ledger, claims *idem.Claims,
+func newGateway(s *settings.Entry, inc incarnation, w *configwatch.Watcher, t *endpoints.Table, billing *ledger.Ledger, claims *idem.Claims,
 	gd *guard.Guard, q *quarantine.Table, rl *ratelimit.Limits, members *peers.Table, planner *cascade.Planner, gate *drain.Gate, clock clockwork.Clock, log *slog.Logger, m *telemetry.Metrics) (*gateway.Gateway, error) {
 	keys, err := s.Keyring()
 	if err != nil {
 		return nil, err
 	}
 	d := gateway.Deps{
-		Instance: s.Instance, Life: int64(l), Domain: s.Domain, Tables: w, Endpoints: t, Keys: keys, Bill: bill, Claims: claims,
+		Instance: s.Instance, Life: int64(inc), Domain: s.Domain, Tables: w, Endpoints: t, Keys: keys, Bill: billing, Claims: claims,
 		Guard: gd, Quarantine: q, Limits: rl, HoldsLimit: func(b string) bool { return members.Holds("limit/"+b, 1) }, Planner: planner, Gate: gate, Clock: clock, Log: log.With("part", "gateway"), Scope: m.Scope.SubScope("gateway"),
 		Timeouts: gateway.Timeouts{FirstToken: s.FirstTokenTimeout, Idle: s.IdleTimeout, Whole: s.AnswerTimeout},
 	}
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,7 +1,7 @@
-// Package agent joins the parts of an entry instance with fx: agent.go says
-// what it is made of, loops.go what runs in the background, serve.go what is
-// served and how a planned stop goes. It turns readiness false and refuses
-// new work, waits for requests in flight (up to the drain timeout), closes
-// the listeners, and only then stops the loops, so that the last bills are
+// Package agent assembles an entry process with fx: agent.go has the
+// constructors, loops.go the background loops, serve.go the HTTP servers and
+// stop.go the planned stop. A planned stop reports not ready and refuses new
+// requests, waits for requests in flight (up to the drain timeout), closes the
+// listeners, and only then stops the loops, so that the last billing records are
 // written.
 package agent
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -8,15 +8,15 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// limits is the gossip of the limits that back ends name.
-type limits struct{ known *ratelimit.Limits }
+// limitTopic gossips the rate limits that back ends report.
+type limitTopic struct{ limits *ratelimit.Limits }
 
-var _ peers.Topic = limits{}
+var _ peers.Topic = limitTopic{}
 
 // Fill implements peers.Topic.
-func (l limits) Fill(d *peerpb.Digest, _ bool) { d.Limits = l.known.Message() }
+func (l limitTopic) Fill(d *peerpb.Digest, _ bool) { d.Limits = l.limits.Message() }
 
 // Merge implements peers.Topic.
-func (l limits) Merge(_ context.Context, d peers.Received) (news bool) {
-	return l.known.LearnMessage(d.Limits)
+func (l limitTopic) Merge(_ context.Context, d peers.Received) (news bool) {
+	return l.limits.LearnMessage(d.Limits)
 }
--- a/agent/loops.go
+++ b/agent/loops.go
@@ -24,14 +24,14 @@
 	"github.com/lovageweir/lovageweir/settings"
 )
 
-// How long the KV may take at a planned stop, after the last request has ended,
-// to confirm what is lost with the process otherwise. An answer of the KV takes
-// milliseconds; these outlast a restart of it. Bills have the most, as nothing
-// else tells of them where an entry is alone in its failure domain.
+// Time-outs for the last writes to the KV at a planned stop, after the last request
+// has ended; what is not confirmed by then is lost with the process. The KV
+// responds in milliseconds; the time-outs outlast a restart of it. Billing records
+// get the longest, as an entry alone in its failure domain has the only copy.
 const (
-	resignFor     = time.Second
-	lastClaimsFor = 5 * time.Second
-	lastBillsFor  = 15 * time.Second
+	resignTimeout = time.Second
+	claimsTimeout = 5 * time.Second
+	ledgerTimeout = 15 * time.Second
 )
 
 func runWatcher(lc fx.Lifecycle, w *configwatch.Watcher) { background.Run(lc, w.Run, nil) }
@@ -42,16 +42,17 @@
 
 func runGuard(lc fx.Lifecycle, g *guard.Guard, c kv.Client) {
 	persist := func(ctx context.Context) { g.Persist(ctx, c) }
-	background.Run(lc, background.Every(housekeeping, persist), persist)
+	background.Run(lc, background.Every(housekeepingInterval, persist), persist)
 }
 
 func runQuarantine(lc fx.Lifecycle, q *quarantine.Table, g *peers.Gossip) {
-	background.Run(lc, func(ctx context.Context) { suspects{q}.pass(ctx, g.Rumour) }, nil)
+	background.Run(lc, func(ctx context.Context) { suspectTopic{q}.forwardNews(ctx, g.Rumour) }, nil)
 	background.Run(lc, background.Every(quarantine.Interval, q.Tick), nil)
 }
 
-// runLedger flushes, copies to the holder and bills for dead entries. At a
-// planned stop everything not yet durable is written before the exit.
+// runLedger flushes billing records, replicates them to the holder and bills the
+// requests of dead entries. At a planned stop it writes all records that are not
+// yet durable.
 func runLedger(lc fx.Lifecycle, s *settings.Entry, l *ledger.Ledger, members *peers.Table, dial peers.Dial, log *slog.Logger) {
 	log = log.With("part", "ledger")
 	flush := func(ctx context.Context) {
@@ -60,50 +61,51 @@
 		}
 	}
 	background.Run(lc, background.Every(ledger.FlushInterval, flush), func(ctx context.Context) {
-		if err := background.Persist(ctx, lastBillsFor, l.FlushAll); err != nil {
+		if err := background.Persist(ctx, ledgerTimeout, l.FlushAll); err != nil {
 			log.Error("ledger: records not written at stop.", "error", err, "waiting", l.Waiting())
 		}
 	})
-	background.Run(lc, background.Every(housekeeping, func(context.Context) { l.TakeOver(members.Alive) }), nil)
+	background.Run(lc, background.Every(housekeepingInterval, func(context.Context) { l.TakeOver(members.Alive) }), nil)
 	background.Run(lc, func(ctx context.Context) { l.Replicate(ctx, members.FirstOther(ledgerGroup(s.Instance)), dial) }, nil)
 }
 
-// errClaimsLeft: a claim is not known to be released.
-var errClaimsLeft = errors.New("claims of requests that did not run may still be held")
+// errClaimsPending means that the release of a claim is not confirmed.
+var errClaimsPending = errors.New("release of claims of requests that did not run is not confirmed")
 
-// runClaims releases the claims of requests that did not run, the last at a
-// planned stop: one that is left refuses its caller's repeat for a day.
+// runClaims releases the claims of requests that did not run, the last ones at a
+// planned stop: a claim that is not released blocks the caller's retry for a day.
 func runClaims(lc fx.Lifecycle, c *idem.Claims, log *slog.Logger) {
 	log = log.With("part", "claims")
 	sweep := func(ctx context.Context) error {
 		c.Sweep(ctx)
 		if c.Pending() > 0 {
-			return errClaimsLeft
+			return errClaimsPending
 		}
 		return nil
 	}
-	background.Run(lc, background.Every(housekeeping, c.Sweep), func(ctx context.Context) {
-		if err := background.Persist(ctx, lastClaimsFor, sweep); err != nil {
+	background.Run(lc, background.Every(housekeepingInterval, c.Sweep), func(ctx context.Context) {
+		if err := background.Persist(ctx, claimsTimeout, sweep); err != nil {
 			log.Error("claims: not released at stop.", "error", err, "waiting", c.Pending())
 		}
 	})
 }
 
-// runOrders keeps engines at their versions, where the settings ask for it.
+// runOrders keeps engines at their configured versions if the settings enable it.
 func runOrders(lc fx.Lifecycle, s *settings.Entry, d *duty.Duty, members *peers.Table, w *configwatch.Watcher, t *endpoints.Table, clock clockwork.Clock, log *slog.Logger) {
 	if !s.ManageEngines {
 		return
 	}
-	mine := func() bool { return members.Holds("orders", 1) }
-	k := orders.New(d, mine, w.Table, t, s.Domain, clock, log.With("part", "orders"))
+	holder := func() bool { return members.Holds("orders", 1) }
+	k := orders.New(d, holder, w.Table, t, s.Domain, clock, log.With("part", "orders"))
 	background.Run(lc, background.Every(orders.Interval, k.Round), resign(d))
 }
 
-// resign gives d up at a planned stop. A KV that does not answer must not use
-// up the stop with it: bills come after, and the lease lapses by itself.
+// resign gives up d at a planned stop. Its time-out keeps an unresponsive KV from
+// using up the stop: the billing records are written later, and the lease expires
+// by itself.
 func resign(d *duty.Duty) func(context.Context) {
 	return func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, resignFor)
+		ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 		defer cancel()
 		d.Resign(ctx)
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -28,8 +28,8 @@
 	"github.com/lovageweir/lovageweir/settings"
 )
 
-// parts are what the server shows and serves.
-type parts struct {
+// server has the components that the HTTP servers expose.
+type server struct {
 	fx.In
 	Set       *settings.Entry
 	Gateway   *gateway.Gateway
@@ -48,7 +48,7 @@
 	Log       *slog.Logger
 }
 
-// Dump is the entry's state dump: GET /debug/state.
+// Dump is the state dump served at GET /debug/state.
 type Dump struct {
 	Instance      string                        `json:"instance"`
 	Domain        string                        `json:"domain"`
@@ -65,20 +65,20 @@
 	Limits        []ratelimit.EndpointState     `json:"limits"`
 }
 
-func (p parts) dump() Dump {
-	return Dump{Instance: p.Set.Instance, Domain: p.Set.Domain, Draining: p.Gate.Stopping(), InFlight: p.Gate.InFlight(),
-		Config: p.Watcher.State(), Peers: p.Members.State(), Guard: p.Guard.State(), Ledger: p.Ledger.State(),
-		ClaimsPending: p.Claims.Pending(), Cascades: p.Planner.State(), Endpoints: p.Endpoints.Snapshot(), Quarantine: p.Suspects.State(), Limits: p.Limits.State()}
+func (s server) dump() Dump {
+	return Dump{Instance: s.Set.Instance, Domain: s.Set.Domain, Draining: s.Gate.Stopping(), InFlight: s.Gate.InFlight(),
+		Config: s.Watcher.State(), Peers: s.Members.State(), Guard: s.Guard.State(), Ledger: s.Ledger.State(),
+		ClaimsPending: s.Claims.Pending(), Cascades: s.Planner.State(), Endpoints: s.Endpoints.Snapshot(), Quarantine: s.Suspects.State(), Limits: s.Limits.State()}
 }
 
-func (p parts) ready() bool { return !p.Gate.Stopping() && p.Watcher.Table() != nil }
+func (s server) ready() bool { return !s.Gate.Stopping() && s.Watcher.Table() != nil }
 
-// callerRoutes are what callers and the platform's balancer need.
-func (p parts) callerRoutes(r *gin.Engine) {
-	p.Gateway.Register(r)
+// callerRoutes adds the routes for callers and the platform's load balancer.
+func (s server) callerRoutes(r *gin.Engine) {
+	s.Gateway.Register(r)
 	r.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	r.GET("/readyz", func(c *gin.Context) {
-		if !p.ready() {
+		if !s.ready() {
 			c.String(http.StatusServiceUnavailable, "not ready\n")
 			return
 		}
@@ -86,16 +86,16 @@
 	})
 }
 
-// internalRoutes are for peers and operators.
-func (p parts) internalRoutes(r *gin.Engine) {
+// internalRoutes adds the routes for peers and operators.
+func (s server) internalRoutes(r *gin.Engine) {
 	r.GET("/debug/state", func(c *gin.Context) {
 		c.Header("Content-Type", "application/json")
 		enc := json.NewEncoder(c.Writer)
 		enc.SetIndent("", "  ")
-		_ = enc.Encode(p.dump())
+		_ = enc.Encode(s.dump())
 	})
-	r.GET("/metrics", gin.WrapH(p.Metrics.Handler))
-	peer := peerpb.NewPeerServer(&peerServer{p})
+	r.GET("/metrics", gin.WrapH(s.Metrics.Handler))
+	peer := peerpb.NewPeerServer(&peerServer{s})
 	r.Any(peer.PathPrefix()+"*method", gin.WrapH(peer))
 }
 
@@ -108,20 +108,20 @@
 	return listen.New(name, address, &http.Server{Handler: r, ReadHeaderTimeout: 5 * time.Second})
 }
 
-// listeners are one for all, or callers and internals apart; the callers' is
-// the first.
-func (p parts) listeners() []*listen.Listener {
-	if p.Set.InternalListen == "" {
-		return []*listen.Listener{newListener("listen", p.Set.Listen, p.callerRoutes, p.internalRoutes)}
+// listeners returns one listener for all routes or, if InternalListen is set, one
+// for callers and one for internal routes. The callers' listener comes first.
+func (s server) listeners() []*listen.Listener {
+	if s.Set.InternalListen == "" {
+		return []*listen.Listener{newListener("listen", s.Set.Listen, s.callerRoutes, s.internalRoutes)}
 	}
-	return []*listen.Listener{newListener("listen", p.Set.Listen, p.callerRoutes), newListener("internal_listen", p.Set.InternalListen, p.internalRoutes)}
+	return []*listen.Listener{newListener("listen", s.Set.Listen, s.callerRoutes), newListener("internal_listen", s.Set.InternalListen, s.internalRoutes)}
 }
 
-// serve listens, and at a planned stop drains.
-func serve(lc fx.Lifecycle, p parts) {
+// serve starts the listeners, and drains them at a planned stop.
+func serve(lc fx.Lifecycle, s server) {
 	gin.SetMode(gin.ReleaseMode)
-	ls := p.listeners()
-	log := p.Log.With("part", "server")
+	ls := s.listeners()
+	log := s.Log.With("part", "server")
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			for _, l := range ls {
@@ -133,29 +133,29 @@
 			return nil
 		},
 		OnStop: func(context.Context) error {
-			p.drain(ls, log)
+			s.drain(ls, log)
 			return nil
 		},
 	})
 }
 
-// peerServer serves the peer protocol.
-type peerServer struct{ parts }
+// peerServer implements the peer protocol.
+type peerServer struct{ server }
 
-func (p *peerServer) Exchange(ctx context.Context, d *peerpb.Digest) (*peerpb.Digest, error) {
-	return p.Gossip.Serve(ctx, d), nil
+func (s *peerServer) Exchange(ctx context.Context, d *peerpb.Digest) (*peerpb.Digest, error) {
+	return s.Gossip.Serve(ctx, d), nil
 }
 
-func (p *peerServer) Shadow(_ context.Context, r *peerpb.ShadowRequest) (*peerpb.ShadowResponse, error) {
-	return p.Ledger.Keep(r), nil
+func (s *peerServer) Shadow(_ context.Context, r *peerpb.ShadowRequest) (*peerpb.ShadowResponse, error) {
+	return s.Ledger.Keep(r), nil
 }
 
-func (p *peerServer) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
-	rev, delta, stored := p.Watcher.Since(kv.Revision(r.Have))
-	return &peerpb.ConfigResponse{Revision: int64(rev), Delta: delta, Document: stored, Domain: p.Set.Domain, Instance: p.Set.Instance}, nil
+func (s *peerServer) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
+	rev, delta, stored := s.Watcher.Since(kv.Revision(r.Have))
+	return &peerpb.ConfigResponse{Revision: int64(rev), Delta: delta, Document: stored, Domain: s.Set.Domain, Instance: s.Set.Instance}, nil
 }
 
-func (p *peerServer) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusResponse, error) {
-	return &peerpb.StatusResponse{Instance: p.Set.Instance, Domain: p.Set.Domain, ConfigRevision: int64(p.Watcher.Revision()),
-		Ready: p.ready(), InFlight: p.Gate.InFlight(), LivePeers: int64(len(p.Members.Live())), Watching: p.Watcher.State().Watching}, nil
+func (s *peerServer) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusResponse, error) {
+	return &peerpb.StatusResponse{Instance: s.Set.Instance, Domain: s.Set.Domain, ConfigRevision: int64(s.Watcher.Revision()),
+		Ready: s.ready(), InFlight: s.Gate.InFlight(), LivePeers: int64(len(s.Members.Live())), Watching: s.Watcher.State().Watching}, nil
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -9,53 +9,53 @@
 	"github.com/lovageweir/lovageweir/settings"
 )
 
-// A planned stop.
+// Time-outs of a planned stop.
 const (
-	// closing is how long the last answers have to leave: a caller that reads
-	// slowly must not hold up the bills, which come after. Each of two listeners
-	// may take that long, and the handlers of closed connections once more.
-	closing = time.Second
-	// lastHaltsFor is what remains for the halts of versions, which are written
-	// last and known to other entries by gossip.
-	lastHaltsFor = 2 * time.Second
+	// closeTimeout bounds writing the last responses: a caller that reads slowly must
+	// not delay the billing records, which are written later. Each of the two
+	// listeners may take this long, and then the handlers of closed connections.
+	closeTimeout = time.Second
+	// haltsTimeout is the time left for the halts of versions. They are written last,
+	// as other entries know them by gossip.
+	haltsTimeout = 2 * time.Second
 )
 
-// stopTimeout is how long a planned stop may take in all. When it is over, fx
-// calls no further hook and the process exits: a drain that took all of it left
-// bills unwritten.
+// stopTimeout is the total time-out of a planned stop. When it expires, fx calls no
+// further hooks and the process exits. It includes time for the steps after the
+// drain: a drain that used all of it left billing records unwritten.
 func stopTimeout(s *settings.Entry) time.Duration {
-	return s.DrainTimeout + drain.LastAnswers + 3*closing + resignFor + lastClaimsFor + lastBillsFor + lastHaltsFor
+	return s.DrainTimeout + drain.LastAnswers + 3*closeTimeout + resignTimeout + claimsTimeout + ledgerTimeout + haltsTimeout
 }
 
-// stages are those of the drain.
-func stages(s *settings.Entry) drain.Times {
+// drainTimes returns the stages of the drain.
+func drainTimes(s *settings.Entry) drain.Times {
 	return drain.Times{Stays: min(drain.LookAway, s.DrainTimeout/2), End: s.DrainTimeout}
 }
 
-// drain ends an entry's work: readiness turns false, new requests are refused
-// as not run, those in flight finish or, when the time is over, are told that
-// they are cut off. Then the listeners close, the callers' first: peers are
+// drain stops serving: the entry reports not ready and refuses new requests as not
+// run; requests in flight finish or, at the drain timeout, are aborted with an error
+// that says so. Then the listeners close, the callers' first, so that peers are
 // served until the last request has ended.
-func (p parts) drain(ls []*listen.Listener, log *slog.Logger) {
-	p.Members.Leave()
-	p.Gossip.Rumour()
-	log.Info("server: draining.", "in_flight", p.Gate.InFlight())
-	p.Gate.Drain(stages(p.Set), ls[0].CloseIdle)
-	inFlight, busy := p.Gate.InFlight(), 0
+func (s server) drain(ls []*listen.Listener, log *slog.Logger) {
+	s.Members.Leave()
+	s.Gossip.Rumour()
+	log.Info("server: draining.", "in_flight", s.Gate.InFlight())
+	s.Gate.Drain(drainTimes(s.Set), ls[0].CloseIdle)
+	inFlight, busy := s.Gate.InFlight(), 0
 	for _, l := range ls {
-		busy += l.Close(closing)
+		busy += l.Close(closeTimeout)
 	}
-	took, _ := p.Gate.Since()
+	took, _ := s.Gate.Since()
 	log.Info("server: closed.", "in_flight", inFlight, "busy_connections", busy, "took_ms", took.Milliseconds())
-	p.awaitHandlers()
+	s.awaitHandlers()
 }
 
-// awaitHandlers waits for requests whose connection was closed under them: each
-// settles its bill once it notices, and the ledger is written after this.
-func (p parts) awaitHandlers() {
+// awaitHandlers waits for the handlers of requests whose connection was closed: each
+// settles its billing record once it notices, and the ledger is flushed after this.
+func (s server) awaitHandlers() {
 	const poll = 10 * time.Millisecond
-	for range closing / poll {
-		if p.Gate.InFlight() == 0 {
+	for range closeTimeout / poll {
+		if s.Gate.InFlight() == 0 {
 			return
 		}
 		time.Sleep(poll)
--- a/agent/suspects.go
+++ b/agent/suspects.go
@@ -8,22 +8,23 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// suspects is the gossip of requests under which back ends crashed.
-type suspects struct{ table *quarantine.Table }
+// suspectTopic gossips the requests during which back ends crashed.
+type suspectTopic struct{ table *quarantine.Table }
 
-var _ peers.Topic = suspects{}
+var _ peers.Topic = suspectTopic{}
 
 // Fill implements peers.Topic.
-func (s suspects) Fill(d *peerpb.Digest, _ bool) { d.Suspects = s.table.Message() }
+func (s suspectTopic) Fill(d *peerpb.Digest, _ bool) { d.Suspects = s.table.Message() }
 
-// Merge implements peers.Topic. What is news is passed on by the table's own sign.
-func (s suspects) Merge(_ context.Context, d peers.Received) (news bool) {
+// Merge implements peers.Topic. It always returns false, as forwardNews starts the
+// rounds for new suspects.
+func (s suspectTopic) Merge(_ context.Context, d peers.Received) (news bool) {
 	s.table.HearMessage(d.Suspects)
 	return false
 }
 
-// pass starts a round of gossip whenever others should hear at once.
-func (s suspects) pass(ctx context.Context, rumour func()) {
+// forwardNews starts a round of gossip whenever the table has news to share at once.
+func (s suspectTopic) forwardNews(ctx context.Context, rumour func()) {
 	for {
 		select {
 		case <-s.table.News():
