--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads an entry process's own settings from YAML: its
-// instance name, failure domain, addresses, peers and timeouts. Every
-// problem is collected with its field and reported together at start.
+// Package settings reads the settings of an entry process from YAML: its
+// instance name, failure domain, addresses, peers and timeouts. All problems are
+// reported together at start, each with its field.
 package settings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -19,46 +19,45 @@
 	"github.com/lovageweir/lovageweir/session"
 )
 
-// Entry is the settings of one entry instance.
+// Entry holds the settings of one entry instance.
 type Entry struct {
 	Instance string `yaml:"instance"`
 	Domain   string `yaml:"domain"`
-	// Listen is host:port for callers, and for peers, operators and metrics
-	// too unless InternalListen is set.
+	// Listen is the host:port for callers, and also for peers, operators and
+	// metrics unless InternalListen is set.
 	Listen string `yaml:"listen"`
-	// InternalListen is host:port for peers (twirp), /metrics and /debug. Set
-	// it wherever callers are not trusted: a peer is believed, and the state
-	// dump names customers' back ends.
+	// InternalListen is the host:port for peers (twirp), /metrics and /debug. Set
+	// it wherever callers are not trusted: messages of the peer protocol are not
+	// authenticated, and the state dump names customers' back ends.
 	InternalListen string `yaml:"internal_listen"`
 	// KV is the base URL of the platform KV service.
 	KV string `yaml:"kv"`
-	// Advertise is the base URL at which peers reach this entry; left out,
-	// it is http:// and InternalListen, or else Listen.
+	// Advertise is the base URL at which peers reach this entry. It defaults to
+	// http:// and InternalListen, or Listen if that is not set.
 	Advertise string `yaml:"advertise"`
-	// Rater is the base URL of the service that rates answers. Left out,
-	// cascades go to their last step and guards see failures only.
+	// Rater is the base URL of the service that rates answers. Without it,
+	// cascades use their last step and guards observe failures only.
 	Rater string `yaml:"rater"`
 	// Instances is the base URL of the platform's instance list.
 	Instances string `yaml:"instances"`
 	// ManageEngines makes the entries of this failure domain order its engines
-	// to load the versions that the configuration gives them. Leave it off
-	// where something else does.
+	// to load their configured versions. Leave it off if another system does so.
 	ManageEngines bool `yaml:"manage_engines"`
-	// Peers are other entries' base URLs: where gossip starts.
+	// Peers are the base URLs of other entries from which gossip starts (seeds).
 	Peers             []string      `yaml:"peers"`
 	FirstTokenTimeout time.Duration `yaml:"first_token_timeout"`
 	IdleTimeout       time.Duration `yaml:"idle_timeout"`
 	DrainTimeout      time.Duration `yaml:"drain_timeout"`
-	// AnswerTimeout bounds a call whose answer is not streamed.
+	// AnswerTimeout is the time-out of a call whose answer is not streamed.
 	AnswerTimeout time.Duration `yaml:"answer_timeout"`
-	// SessionKeys maps key ids to hex secrets (at least 32 bytes) shared by
-	// every entry; SessionKeyCurrent names the one that signs. Without keys
-	// a session stays on its version only while the roll-out weights hold.
+	// SessionKeys maps key IDs to secrets in hex (at least 32 bytes) shared by
+	// all entries; SessionKeyCurrent is the ID of the signing key. Without keys
+	// a session stays on its version only until the roll-out weights change.
 	SessionKeys       map[string]string `yaml:"session_keys"`
 	SessionKeyCurrent string            `yaml:"session_key_current"`
 }
 
-// Defaults for timeouts left out of the file.
+// Defaults of timeouts that are not set.
 const (
 	DefaultFirstTokenTimeout = 5 * time.Second
 	DefaultIdleTimeout       = 5 * time.Second
@@ -66,7 +65,7 @@
 	DefaultAnswerTimeout     = 120 * time.Second
 )
 
-// Load reads and checks the file at path.
+// Load reads and validates the file at path.
 func Load(path string) (*Entry, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +74,7 @@
 	return Parse(raw)
 }
 
-// Parse decodes and checks settings, returning every finding at once.
+// Parse decodes and validates settings. It returns all findings at once.
 func Parse(raw []byte) (*Entry, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
@@ -104,7 +103,7 @@
 	return &e, nil
 }
 
-// Check returns every problem with the settings.
+// Check returns all problems of the settings.
 func (e *Entry) Check() config.Findings {
 	var fs config.Findings
 	add := func(path, msg string) { fs = append(fs, config.Finding{Path: path, Message: msg}) }
@@ -153,7 +152,7 @@
 	return fs
 }
 
-// Keyring builds the session key ring, or nil when no keys are set.
+// Keyring returns the session key ring, or nil if no keys are set.
 func (e *Entry) Keyring() (*session.Keyring, error) {
 	if len(e.SessionKeys) == 0 {
 		return nil, nil
