--- a/endpoints/poll.go
+++ b/endpoints/poll.go
@@ -17,70 +17,71 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// Bounds of polling.
+// Polling intervals and limits.
 const (
-	// PollInterval is how often load reports and the instance list are read:
-	// at the target size a second of it costs a node 3 KB/s
-	// (docs/CAPACITY.md). Between reports an entry counts its own requests.
+	// PollInterval is how often load reports and the instance list are read.
+	// At the target size this costs a node 3 KB/s (docs/CAPACITY.md). Between
+	// reports an entry counts its own requests.
 	PollInterval = 2 * time.Second
-	pollWait     = 800 * time.Millisecond
-	// pollWorkers bounds the load requests a poller has open at once.
-	pollWorkers = 8
-	maxReport   = 1 << 20
-	// listHolders is how many entries of a domain read the instance list.
-	listHolders = 2
+	pollTimeout  = 800 * time.Millisecond
+	// pollWorkers limits the concurrent load requests of a poller.
+	pollWorkers      = 8
+	maxResponseBytes = 1 << 20
+	// listPollers is how many entries of a domain read the instance list.
+	listPollers = 2
 )
 
-// Shares tells what this entry polls; peers.Table implements it.
-type Shares interface {
-	// Holds reports whether this entry is among the first n of its failure
-	// domain for subject.
+// Assignments decides what this entry polls; peers.Table implements it.
+type Assignments interface {
+	// Holds reports whether this entry is among the n entries of its failure
+	// domain that are assigned subject.
 	Holds(subject string, n int) bool
 }
 
 // Poller reads load reports and the instance list.
 type Poller struct {
-	table  *Table
-	tables func() *route.Table
-	shares Shares
-	domain string
-	life   int64
-	list   string // base URL of the instance list; empty: none
-	hc     *http.Client
-	log    *slog.Logger
+	table        *Table
+	currentTable func() *route.Table
+	assignments  Assignments
+	domain       string
+	incarnation  int64
+	listURL      string // base URL of the instance list; empty if there is none
+	client       *http.Client
+	log          *slog.Logger
 
-	seq  int64       // rounds so far; orders this entry's reports
-	kept kv.Revision // the configuration the table was last pruned to
+	seq            int64       // rounds so far; orders the reports of this poller
+	prunedRevision kv.Revision // configuration revision the table was last pruned to
 
 	mu    sync.Mutex
-	seeds []string // entries the list last named
+	seeds []string // base URLs of the live entries in the last instance list
 }
 
-// NewPoller returns a poller into table for the back ends of domain. life
-// tells this process's reports from those of an earlier one.
-func NewPoller(table *Table, tables func() *route.Table, shares Shares, domain string, life int64, list string, log *slog.Logger) *Poller {
-	return &Poller{table: table, tables: tables, shares: shares, domain: domain, life: life, list: list, log: log,
-		hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
+// NewPoller returns a poller into table for the back ends of domain.
+// incarnation distinguishes the reports of this process from those of an
+// earlier one.
+func NewPoller(table *Table, currentTable func() *route.Table, assignments Assignments, domain string, incarnation int64, listURL string, log *slog.Logger) *Poller {
+	return &Poller{table: table, currentTable: currentTable, assignments: assignments, domain: domain, incarnation: incarnation, listURL: listURL, log: log,
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// Poll makes one round.
+// Poll runs one polling round.
 func (p *Poller) Poll(ctx context.Context) {
 	p.seq++
-	ctx, cancel := context.WithTimeout(ctx, pollWait)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	if p.list != "" && p.shares.Holds("instances", listHolders) {
+	if p.listURL != "" && p.assignments.Holds("instances", listPollers) {
 		wg.Add(1)
 		go func() { defer wg.Done(); p.pollList(ctx) }()
 	}
-	t := p.tables()
+	t := p.currentTable()
 	if t == nil {
 		return
 	}
-	if t.Revision != p.kept {
-		p.kept = t.Revision
-		p.table.Keep(t.HasBackend)
+	if t.Revision != p.prunedRevision {
+		p.prunedRevision = t.Revision
+		p.table.Prune(t.HasBackend)
 	}
 	work := make(chan route.BackendInfo)
 	for range pollWorkers {
@@ -93,7 +94,7 @@
 		}()
 	}
 	for _, b := range t.Engines(p.domain) {
-		if p.shares.Holds(b.Name, 1) {
+		if p.assignments.Holds(b.Name, 1) {
 			work <- b
 		}
 	}
@@ -103,16 +104,16 @@
 func (p *Poller) pollLoad(ctx context.Context, b route.BackendInfo) {
 	var l openai.LoadReport
 	if err := p.get(ctx, "http://"+b.Address+openai.PathLoad, &l); err != nil {
-		// No report is no verdict: requests themselves show whether it is
-		// well. The old report ages out.
-		p.log.Debug("endpoints: no load report.", "backend", b.Name, "error", err)
+		// A missing report does not count as a failure: requests themselves
+		// show whether the back end works. The previous report expires.
+		p.log.Debug("endpoints: cannot read the load report.", "backend", b.Name, "error", err)
 		return
 	}
-	r := Report{Load: l.InFlight, Life: p.life, Seq: p.seq}
+	r := Report{Load: l.InFlight, Incarnation: p.incarnation, Seq: p.seq}
 	if l.Model != "" {
 		r.Version = l.Model + "@" + l.Version
 	}
-	p.table.Reported(b.Name, r)
+	p.table.RecordReport(b.Name, r)
 	if l.Draining {
 		p.table.Draining(b.Name)
 	}
@@ -120,7 +121,7 @@
 
 func (p *Poller) pollList(ctx context.Context) {
 	var l openai.InstanceList
-	if err := p.get(ctx, strings.TrimSuffix(p.list, "/")+openai.PathInstances, &l); err != nil {
+	if err := p.get(ctx, strings.TrimSuffix(p.listURL, "/")+openai.PathInstances, &l); err != nil {
 		p.log.Debug("endpoints: no instance list.", "error", err)
 		return
 	}
@@ -136,12 +137,12 @@
 	p.mu.Lock()
 	p.seeds = seeds
 	p.mu.Unlock()
-	if p.table.Listed(l.Revision, leaving) && len(leaving) > 0 {
+	if p.table.ApplyInstanceList(l.Revision, leaving) && len(leaving) > 0 {
 		p.log.Info("endpoints: the instance list names leaving back ends.", "leaving", leaving, "list_revision", l.Revision)
 	}
 }
 
-// Seeds returns the base URLs of the entries the list last named.
+// Seeds returns the base URLs of the live entries in the last instance list.
 func (p *Poller) Seeds() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +154,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	resp, err := p.hc.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -161,5 +162,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return trace.Errorf("%s answered %d", url, resp.StatusCode)
 	}
-	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(out))
+	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out))
 }
--- a/endpoints/table.go
+++ b/endpoints/table.go
@@ -10,61 +10,63 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// Bounds of the view.
+// Lifetimes and limits of the recorded state.
 const (
-	// reportTTL is how long a load report counts. Older, the entry goes by
-	// what it has in flight itself.
+	// reportTTL is how long a load report is used. After that, the entry
+	// counts only its own requests in flight.
 	reportTTL = 5 * time.Second
-	// avoidFirst and avoidMax bound how long a back end that failed is tried
-	// last: doubling, so that one that stays broken costs ever fewer tries.
-	avoidFirst = time.Second
-	avoidMax   = 30 * time.Second
-	// avoidPenalty puts a back end behind every healthy one without taking
-	// it out: when all have failed, trying one beats refusing.
-	avoidPenalty = 1 << 20
-	// drainingTTL is how long a back end's own word that it drains counts;
-	// by then the instance list says so, or it is back.
+	// initialBackoff and maxBackoff bound how long a failed back end ranks
+	// last. The duration doubles with each failure, so that a back end that
+	// stays broken is tried less and less often.
+	initialBackoff = time.Second
+	maxBackoff     = 30 * time.Second
+	// backoffPenalty is the load added to a back end in backoff. It ranks behind
+	// every healthy one but stays usable: when all have failed, trying one is
+	// better than refusing the request.
+	backoffPenalty = 1 << 20
+	// drainingTTL is how long a back end's own draining notice is honored; by
+	// then the instance list names it, or it accepts requests again.
 	drainingTTL = 10 * time.Second
 )
 
-// Report is what a back end last said of itself.
+// Report is one load report of a back end.
 type Report struct {
-	// Load is requests in flight there, from every entry.
+	// Load is the number of requests in flight there, from all entries.
 	Load int
-	// Version is the model@version it has loaded; empty: not said.
+	// Version is the loaded model@version; empty if not reported.
 	Version string
-	// Life and Seq order the reports of one polling entry.
-	Life, Seq int64
+	// Incarnation identifies the polling process; Seq orders its reports.
+	Incarnation, Seq int64
 
-	at      time.Time // when it was received, on this entry's steady clock
-	ownThen int       // this entry's in-flight count when it was received
+	receivedAt  time.Time // on this entry's monotonic clock
+	ownInFlight int       // this entry's requests in flight at receivedAt
 }
 
-type avoidance struct {
-	until time.Time
-	next  time.Duration
+type backoff struct {
+	until    time.Time
+	duration time.Duration
 }
 
-// Table is the view. It is safe for concurrent use; its lock is held only
-// for map work, never across a call.
+// Table holds the state of the back ends. It is safe for concurrent use; its
+// lock is held only for map operations, never across a call.
 type Table struct {
 	clock clockwork.Clock
 
-	mu       sync.Mutex
-	inFlight map[string]int
-	reports  map[string]Report
-	avoid    map[string]avoidance
-	draining map[string]time.Time // back end -> until when its word counts
-	listRev  int64
-	leaving  map[string]bool // from the instance list of listRev
+	mu           sync.Mutex
+	inFlight     map[string]int
+	reports      map[string]Report
+	backoffs     map[string]backoff
+	draining     map[string]time.Time // back end -> expiry of its draining notice
+	listRevision int64
+	leaving      map[string]bool // from the instance list of listRevision
 }
 
 var _ route.Endpoints = (*Table)(nil)
 
-// NewTable returns an empty view.
+// NewTable returns an empty table.
 func NewTable(clock clockwork.Clock) *Table {
 	return &Table{
-		clock: clock, inFlight: map[string]int{}, reports: map[string]Report{}, avoid: map[string]avoidance{},
+		clock: clock, inFlight: map[string]int{}, reports: map[string]Report{}, backoffs: map[string]backoff{},
 		draining: map[string]time.Time{}, leaving: map[string]bool{},
 	}
 }
@@ -78,20 +80,20 @@
 		return 0, false
 	}
 	load = t.inFlight[b.Name]
-	if r, ok := t.reports[b.Name]; ok && now.Sub(r.at) <= reportTTL {
+	if r, ok := t.reports[b.Name]; ok && now.Sub(r.receivedAt) <= reportTTL {
 		if r.Version != "" && r.Version != b.Serves() {
 			return 0, false
 		}
-		// The report counted this entry's requests of that time too.
-		load = max(load, r.Load+load-r.ownThen)
+		// The report includes this entry's requests in flight at that time.
+		load = max(load, r.Load+load-r.ownInFlight)
 	}
-	if now.Before(t.avoid[b.Name].until) {
-		load += avoidPenalty
+	if now.Before(t.backoffs[b.Name].until) {
+		load += backoffPenalty
 	}
 	return load, true
 }
 
-// Begin counts one request on b; the returned func ends it.
+// Begin counts a request on b as in flight until the returned func is called.
 func (t *Table) Begin(b string) func() {
 	t.mu.Lock()
 	t.inFlight[b]++
@@ -103,28 +105,28 @@
 	}
 }
 
-// Failed notes that b failed or went silent.
+// Failed records that b failed or stopped responding.
 func (t *Table) Failed(b string) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := t.avoid[b]
+	a := t.backoffs[b]
 	if now.Before(a.until) {
-		return // one of several failures of the same moment
+		return // already in backoff: failures of concurrent requests count once
 	}
-	a.next = min(max(a.next*2, avoidFirst), avoidMax)
-	a.until = now.Add(a.next)
-	t.avoid[b] = a
+	a.duration = min(max(a.duration*2, initialBackoff), maxBackoff)
+	a.until = now.Add(a.duration)
+	t.backoffs[b] = a
 }
 
-// Answered notes that b gave a whole answer.
+// Answered records a complete answer from b, which ends its backoff.
 func (t *Table) Answered(b string) {
 	t.mu.Lock()
-	delete(t.avoid, b)
+	delete(t.backoffs, b)
 	t.mu.Unlock()
 }
 
-// Draining notes b's own word that it takes no new work.
+// Draining records b's own notice that it accepts no new requests.
 func (t *Table) Draining(b string) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -132,59 +134,61 @@
 	t.mu.Unlock()
 }
 
-// Reported takes b's report. Reports of one polling entry are ordered by
-// Seq; another entry's is taken once the one held is growing old.
-func (t *Table) Reported(b string, r Report) {
+// RecordReport stores b's report. Reports of one poller are ordered by
+// Seq; a report of another poller replaces the stored one only when that is
+// at least half of reportTTL old.
+func (t *Table) RecordReport(b string, r Report) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cur, ok := t.reports[b]
-	if ok && cur.Life == r.Life && cur.Seq >= r.Seq {
+	if ok && cur.Incarnation == r.Incarnation && cur.Seq >= r.Seq {
 		return
 	}
-	if ok && cur.Life != r.Life && now.Sub(cur.at) < reportTTL/2 {
+	if ok && cur.Incarnation != r.Incarnation && now.Sub(cur.receivedAt) < reportTTL/2 {
 		return
 	}
-	r.at, r.ownThen = now, t.inFlight[b]
+	r.receivedAt, r.ownInFlight = now, t.inFlight[b]
 	t.reports[b] = r
 }
 
-// Loaded returns the model@version that b last reported, "" when it has not
-// reported lately.
+// Loaded returns the model@version that b last reported, or "" without a
+// report within reportTTL.
 func (t *Table) Loaded(b string) string {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.reports[b]
-	if !ok || now.Sub(r.at) > reportTTL {
+	if !ok || now.Sub(r.receivedAt) > reportTTL {
 		return ""
 	}
 	return r.Version
 }
 
-// Keep forgets back ends that left the configuration, or the view would grow
-// with every endpoint ever replaced. One with requests in flight stays until
-// the next call.
-func (t *Table) Keep(named func(backend string) bool) {
+// Prune removes back ends that left the configuration; otherwise the table would
+// grow with every endpoint ever replaced. The in-flight count of a back end
+// with open requests stays until a later call.
+func (t *Table) Prune(configured func(backend string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	gone := func(b string) bool { return !named(b) }
+	gone := func(b string) bool { return !configured(b) }
 	maps.DeleteFunc(t.inFlight, func(b string, n int) bool { return n == 0 && gone(b) })
 	maps.DeleteFunc(t.reports, func(b string, _ Report) bool { return gone(b) })
-	maps.DeleteFunc(t.avoid, func(b string, _ avoidance) bool { return gone(b) })
+	maps.DeleteFunc(t.backoffs, func(b string, _ backoff) bool { return gone(b) })
 	maps.DeleteFunc(t.draining, func(b string, _ time.Time) bool { return gone(b) })
 }
 
-// Listed takes the instance list of revision rev; it returns whether it is
-// newer than the one held. Only newer lists count, so a late answer cannot
-// bring a leaving back end back.
-func (t *Table) Listed(rev int64, leaving []string) bool {
+// ApplyInstanceList stores the leaving back ends of the instance list of
+// revision rev and reports whether that list is newer than the stored one.
+// Older lists are ignored, so that a late answer cannot make a leaving back
+// end usable again.
+func (t *Table) ApplyInstanceList(rev int64, leaving []string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if rev <= t.listRev {
+	if rev <= t.listRevision {
 		return false
 	}
-	t.listRev, t.leaving = rev, make(map[string]bool, len(leaving))
+	t.listRevision, t.leaving = rev, make(map[string]bool, len(leaving))
 	for _, b := range leaving {
 		t.leaving[b] = true
 	}
@@ -200,40 +204,40 @@
 	Avoided  bool   `json:"avoided,omitempty"`
 }
 
-// State is the view's part of the state dump.
+// State is the table's part of the state dump.
 type State struct {
 	ListRevision int64                   `json:"list_revision"`
 	Backends     map[string]BackendState `json:"backends"`
 }
 
-// Snapshot copies the view for the state dump.
+// Snapshot returns the table's part of the state dump.
 func (t *Table) Snapshot() State {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := State{ListRevision: t.listRev, Backends: map[string]BackendState{}}
-	edit := func(b string, f func(*BackendState)) {
+	out := State{ListRevision: t.listRevision, Backends: map[string]BackendState{}}
+	update := func(b string, f func(*BackendState)) {
 		s := out.Backends[b]
 		f(&s)
 		out.Backends[b] = s
 	}
 	for b, n := range t.inFlight {
-		edit(b, func(s *BackendState) { s.InFlight = n })
+		update(b, func(s *BackendState) { s.InFlight = n })
 	}
 	for b, r := range t.reports {
-		edit(b, func(s *BackendState) { s.Reported, s.Version = r.Load, r.Version })
+		update(b, func(s *BackendState) { s.Reported, s.Version = r.Load, r.Version })
 	}
 	for b := range t.leaving {
-		edit(b, func(s *BackendState) { s.Leaving = true })
+		update(b, func(s *BackendState) { s.Leaving = true })
 	}
 	for b, until := range t.draining {
 		if now.Before(until) {
-			edit(b, func(s *BackendState) { s.Leaving = true })
+			update(b, func(s *BackendState) { s.Leaving = true })
 		}
 	}
-	for b, a := range t.avoid {
+	for b, a := range t.backoffs {
 		if now.Before(a.until) {
-			edit(b, func(s *BackendState) { s.Avoided = true })
+			update(b, func(s *BackendState) { s.Avoided = true })
 		}
 	}
 	return out
--- a/endpoints/topic.go
+++ b/endpoints/topic.go
@@ -11,37 +11,38 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// Topic spreads load reports within a failure domain and the leaving back
-// ends everywhere.
+// Topic gossips load reports within a failure domain and the leaving back
+// ends to all entries.
 type Topic struct {
-	t      *Table
-	tables func() *route.Table
-	domain string
+	t            *Table
+	currentTable func() *route.Table
+	domain       string
 
-	digests atomic.Int64
+	fills atomic.Int64
 }
 
 // NewTopic returns the gossip topic of t for an entry in domain.
-func NewTopic(t *Table, tables func() *route.Table, domain string) *Topic {
-	return &Topic{t: t, tables: tables, domain: domain}
+func NewTopic(t *Table, currentTable func() *route.Table, domain string) *Topic {
+	return &Topic{t: t, currentTable: currentTable, domain: domain}
 }
 
-// Fill implements peers.Topic. Loads stay within the failure domain: a
-// domain's own engines come first in every decision.
+// Fill implements peers.Topic. Loads are sent only within the failure
+// domain: every decision prefers the engines of its own domain.
 func (p *Topic) Fill(d *peerpb.Digest, local bool) {
 	p.t.mu.Lock()
-	d.ListRevision = p.t.listRev
+	d.ListRevision = p.t.listRevision
 	for b := range p.t.leaving {
 		d.Leaving = append(d.Leaving, b)
 	}
 	p.t.mu.Unlock()
-	// Rounds are PollInterval apart, so every second digest is enough.
-	if t := p.tables(); local && p.digests.Add(1)%2 == 0 && t != nil && int64(t.Revision) == d.ConfigRevision {
+	// Polls are PollInterval apart, two gossip rounds, so every second digest
+	// is enough.
+	if t := p.currentTable(); local && p.fills.Add(1)%2 == 0 && t != nil && int64(t.Revision) == d.ConfigRevision {
 		d.Loads = p.t.loads(t.Engines(p.domain))
 	}
 }
 
-// loads groups the reports on engines by who made them.
+// loads groups the recent reports on engines by reporter.
 func (t *Table) loads(engines []route.BackendInfo) []*peerpb.Loads {
 	now := t.clock.Now()
 	byReporter := map[int64]*peerpb.Loads{}
@@ -49,13 +50,13 @@
 	defer t.mu.Unlock()
 	for i := range engines {
 		r, ok := t.reports[engines[i].Name]
-		if !ok || now.Sub(r.at) > reportTTL/2 {
+		if !ok || now.Sub(r.receivedAt) > reportTTL/2 {
 			continue
 		}
-		l := byReporter[r.Life]
+		l := byReporter[r.Incarnation]
 		if l == nil || l.Round < r.Seq {
-			l = &peerpb.Loads{Reporter: r.Life, Round: r.Seq} // the latest round only
-			byReporter[r.Life] = l
+			l = &peerpb.Loads{Reporter: r.Incarnation, Round: r.Seq} // keep only the latest round
+			byReporter[r.Incarnation] = l
 		}
 		if l.Round > r.Seq {
 			continue
@@ -73,27 +74,27 @@
 	return out
 }
 
-// Merge implements peers.Topic. A newer instance list is news; loads are
-// not, they change all the time.
+// Merge implements peers.Topic. It reports whether the instance list is
+// newer; loads change all the time and are not worth passing on at once.
 func (p *Topic) Merge(_ context.Context, d peers.Received) bool {
-	if t := p.tables(); t != nil && int64(t.Revision) == d.ConfigRevision {
+	if t := p.currentTable(); t != nil && int64(t.Revision) == d.ConfigRevision {
 		for _, l := range d.Loads {
 			p.mergeLoads(l, t.Engines(p.domain))
 		}
 	}
-	return p.t.Listed(d.ListRevision, d.Leaving)
+	return p.t.ApplyInstanceList(d.ListRevision, d.Leaving)
 }
 
 func (p *Topic) mergeLoads(l *peerpb.Loads, engines []route.BackendInfo) {
-	odd := map[uint32]string{}
+	versions := map[uint32]string{}
 	for i, e := range l.Odd {
 		if i < len(l.OddVersion) {
-			odd[e] = l.OddVersion[i]
+			versions[e] = l.OddVersion[i]
 		}
 	}
 	for i, e := range l.Engine {
 		if i < len(l.Load) && int(e) < len(engines) {
-			p.t.Reported(engines[e].Name, Report{Load: int(l.Load[i]), Version: odd[e], Life: l.Reporter, Seq: l.Round})
+			p.t.RecordReport(engines[e].Name, Report{Load: int(l.Load[i]), Version: versions[e], Incarnation: l.Reporter, Seq: l.Round})
 		}
 	}
 }
