--- a/guard/guard.go
+++ b/guard/guard.go
@@ -17,51 +17,52 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// maxEvidence bounds the rows of counts in one digest: the entries of one
+// maxEvidenceRows bounds the rows of counts in one digest: the entries of one
 // failure domain at the target size, times a few versions under roll-out.
-// This entry's domain is told first.
-const maxEvidence = 64
+// Rows of this entry's domain take precedence.
+const maxEvidenceRows = 64
 
-// evidenceFor is how long counts are told on after they last rose: the test
-// is about how a version does now, and rows of lives long ended would crowd
-// out the others.
-const evidenceFor = 30 * time.Second
+// evidenceTTL is how long counts are gossiped after they last increased: the
+// test is about a version's current behavior, and rows of processes long ended
+// would crowd out the others.
+const evidenceTTL = 30 * time.Second
 
-// source is one life of one entry.
+// source is one incarnation (process) of one entry.
 type source struct {
-	instance string
-	life     int64
+	instance    string
+	incarnation int64
 }
 
 type counts struct {
 	samples, bad int64
-	at           time.Time // when they last rose, on this entry's steady clock
+	updatedAt    time.Time // when they last increased, on this entry's monotonic clock
 }
 
-// Guard is one entry's guard. It is safe for concurrent use; its lock is
-// never held across a call.
+// Guard counts answers and keeps halts for one entry. It is safe for
+// concurrent use; its lock is never held across a call.
 type Guard struct {
-	self  source
-	clock clockwork.Clock
-	log   *slog.Logger
-	news  func() // called after a halt became known
+	self   source
+	clock  clockwork.Clock
+	log    *slog.Logger
+	onHalt func() // called after an own halt or one read from the KV
 
-	mu     sync.Mutex
-	halts  map[string]bool // subject -> whether it is known to be in the KV
-	counts map[string]map[source]counts
-	stats  map[string]*cusum
+	mu         sync.Mutex
+	halts      map[string]bool // subject -> whether it is known to be in the KV
+	counts     map[string]map[source]counts
+	statistics map[string]*cusum
 }
 
 var _ route.Halts = (*Guard)(nil)
 
-// New returns the guard of one life of an instance.
-func New(instance string, life int64, clock clockwork.Clock, log *slog.Logger) *Guard {
-	return &Guard{self: source{instance, life}, clock: clock, log: log, news: func() {},
-		halts: map[string]bool{}, counts: map[string]map[source]counts{}, stats: map[string]*cusum{}}
+// New returns the guard of one incarnation of an instance.
+func New(instance string, incarnation int64, clock clockwork.Clock, log *slog.Logger) *Guard {
+	return &Guard{self: source{instance, incarnation}, clock: clock, log: log, onHalt: func() {},
+		halts: map[string]bool{}, counts: map[string]map[source]counts{}, statistics: map[string]*cusum{}}
 }
 
-// OnNews sets what to call after a halt became known; set it before use.
-func (g *Guard) OnNews(f func()) { g.news = f }
+// OnNews sets the func to call after this entry halts a version or reads a new
+// halt from the KV. It must be called before the guard is used.
+func (g *Guard) OnNews(f func()) { g.onHalt = f }
 
 // Halted implements route.Halts.
 func (g *Guard) Halted(subject string) bool {
@@ -79,85 +80,86 @@
 	if bad {
 		c.bad++
 	}
-	halted := g.countLocked(subject, g.self, c)
+	halted := g.updateCountsLocked(subject, g.self, c)
 	g.mu.Unlock()
 	if halted {
 		g.log.Warn("guard: version answers badly; halting it.", "subject", subject)
-		g.news()
+		g.onHalt()
 	}
 }
 
-// countLocked takes a source's new totals; true: they halted the subject.
-func (g *Guard) countLocked(subject string, from source, c counts) bool {
+// updateCountsLocked stores a source's new totals and reports whether they halted
+// the subject.
+func (g *Guard) updateCountsLocked(subject string, from source, c counts) bool {
 	if g.counts[subject] == nil {
-		g.counts[subject], g.stats[subject] = map[source]counts{}, new(cusum)
+		g.counts[subject], g.statistics[subject] = map[source]counts{}, new(cusum)
 	}
 	old := g.counts[subject][from]
 	if c.samples <= old.samples {
-		return false // an older digest
+		return false // stale or repeated digest
 	}
-	c.at = g.clock.Now()
+	c.updatedAt = g.clock.Now()
 	g.counts[subject][from] = c
 	bad := c.bad - old.bad
-	if !g.stats[subject].add(c.samples-old.samples-bad, bad) {
+	if !g.statistics[subject].add(c.samples-old.samples-bad, bad) {
 		return false
 	}
-	return g.haltLocked(subject, false)
+	return g.recordHaltLocked(subject, false)
 }
 
-// haltLocked keeps a halt; stored says it was read from the KV. It reports
-// whether the halt was new.
-func (g *Guard) haltLocked(subject string, stored bool) bool {
+// recordHaltLocked records a halt and reports whether it is new; stored means that
+// it is known to be in the KV.
+func (g *Guard) recordHaltLocked(subject string, stored bool) bool {
 	old, known := g.halts[subject]
 	g.halts[subject] = old || stored
 	return !known
 }
 
-// Stored takes a halt found in the KV.
+// Stored records a halt found in the KV under key.
 func (g *Guard) Stored(key string) {
 	subject, ok := strings.CutPrefix(key, config.HaltPrefix)
 	if !ok || subject == "" {
 		return
 	}
 	g.mu.Lock()
-	fresh := g.haltLocked(subject, true)
+	isNew := g.recordHaltLocked(subject, true)
 	g.mu.Unlock()
-	if fresh {
-		g.news()
+	if isNew {
+		g.onHalt()
 	}
 }
 
-// Persist writes the halts not yet known to be in the KV, create-only: any
-// number of entries may write the same halt any number of times.
+// Persist writes the halts not yet known to be in the KV. Writes are
+// create-only, so any number of entries may repeat them.
 func (g *Guard) Persist(ctx context.Context, c kv.KV) {
 	g.mu.Lock()
-	var todo []string
+	var pending []string
 	for s, stored := range g.halts {
 		if !stored {
-			todo = append(todo, s)
+			pending = append(pending, s)
 		}
 	}
 	g.mu.Unlock()
-	for _, s := range todo {
+	for _, s := range pending {
 		if _, _, _, err := c.CompareAndPut(ctx, config.HaltPrefix+s, 0, []byte(g.self.instance), 0); err != nil {
-			g.log.Warn("guard: halt not confirmed by the KV; will write it again.", "subject", s, "error", err)
+			g.log.Warn("guard: halt not confirmed by the KV; retrying later.", "subject", s, "error", err)
 			continue
 		}
 		g.mu.Lock()
-		g.haltLocked(s, true)
+		g.recordHaltLocked(s, true)
 		g.mu.Unlock()
 	}
 }
 
-// Topic returns the guard's gossip topic; local tells whether an instance is
-// in this entry's failure domain.
-func (g *Guard) Topic(local func(instance string) bool) peers.Topic {
-	return &topic{g: g, local: local}
+// Topic returns the guard's gossip topic; isLocal reports whether an instance
+// is in this entry's failure domain.
+func (g *Guard) Topic(isLocal func(instance string) bool) peers.Topic {
+	return &topic{g: g, isLocal: isLocal}
 }
 
 type topic struct {
-	g     *Guard
-	local func(instance string) bool
+	g       *Guard
+	isLocal func(instance string) bool
 }
 
 // Fill implements peers.Topic.
@@ -168,43 +170,43 @@
 		d.Halts = append(d.Halts, s)
 	}
 	var rows []*peerpb.Evidence
-	for s, from := range t.g.counts {
+	for s, sources := range t.g.counts {
 		if _, halted := t.g.halts[s]; halted {
 			continue
 		}
-		for src, c := range from {
-			if now.Sub(c.at) > evidenceFor {
+		for src, c := range sources {
+			if now.Sub(c.updatedAt) > evidenceTTL {
 				continue
 			}
-			rows = append(rows, &peerpb.Evidence{Instance: src.instance, Life: src.life, Subject: s, Samples: c.samples, Bad: c.bad})
+			rows = append(rows, &peerpb.Evidence{Instance: src.instance, Life: src.incarnation, Subject: s, Samples: c.samples, Bad: c.bad})
 		}
 	}
 	t.g.mu.Unlock()
-	if len(rows) > maxEvidence {
-		near := func(e *peerpb.Evidence) bool { return t.local(e.Instance) }
-		sort.SliceStable(rows, func(i, j int) bool { return near(rows[i]) && !near(rows[j]) })
-		rows = rows[:maxEvidence]
+	if len(rows) > maxEvidenceRows {
+		local := func(e *peerpb.Evidence) bool { return t.isLocal(e.Instance) }
+		sort.SliceStable(rows, func(i, j int) bool { return local(rows[i]) && !local(rows[j]) })
+		rows = rows[:maxEvidenceRows]
 	}
 	d.Evidence = rows
 }
 
-// Merge implements peers.Topic.
+// Merge implements peers.Topic. It reports whether a new halt became known.
 func (t *topic) Merge(_ context.Context, d peers.Received) bool {
 	g := t.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := false
+	halted := false
 	for _, s := range d.Halts {
-		news = g.haltLocked(s, false) || news
+		halted = g.recordHaltLocked(s, false) || halted
 	}
 	for _, e := range d.Evidence {
 		from := source{e.Instance, e.Life}
 		if from == g.self {
 			continue
 		}
-		news = g.countLocked(e.Subject, from, counts{samples: e.Samples, bad: e.Bad}) || news
+		halted = g.updateCountsLocked(e.Subject, from, counts{samples: e.Samples, bad: e.Bad}) || halted
 	}
-	return news
+	return halted
 }
 
 // VersionState is one guarded version's row in the state dump.
@@ -216,14 +218,14 @@
 	Stored    bool    `json:"stored"`
 }
 
-// State returns the current dump, by subject.
+// State returns the guard's part of the state dump, by subject.
 func (g *Guard) State() map[string]VersionState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]VersionState{}
-	for s, from := range g.counts {
-		v := VersionState{Statistic: float64(*g.stats[s])}
-		for _, c := range from {
+	for s, sources := range g.counts {
+		v := VersionState{Statistic: float64(*g.statistics[s])}
+		for _, c := range sources {
 			v.Samples, v.Bad = v.Samples+c.samples, v.Bad+c.bad
 		}
 		out[s] = v
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -26,20 +26,19 @@
 	return New(name, 1, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func everyone(string) bool { return true }
+func allLocal(string) bool { return true }
 
-// tell hands a's digest to b.
-func tell(a, b *Guard) bool {
+// gossip merges a's digest into b and reports whether it held a new halt.
+func gossip(a, b *Guard) bool {
 	d := &peerpb.Digest{}
-	a.Topic(everyone).Fill(d, true)
-	return b.Topic(everyone).Merge(context.Background(), peers.Received{Digest: d})
+	a.Topic(allLocal).Fill(d, true)
+	return b.Topic(allLocal).Merge(context.Background(), peers.Received{Digest: d})
 }
 
-// TestScatteredEvidenceHaltsTheVersion: symptom: a version that answers
-// badly goes on being served because no single entry sees enough of it.
-// Sequence: eight entries each see three answers of v2, all bad, and gossip.
-// Cause, if each judged by its own answers only: none crosses the line.
-func TestScatteredEvidenceHaltsTheVersion(t *testing.T) {
+// TestMergedCountsHaltTheVersion guards against a bad version that stays in
+// service because no single entry sees enough of its answers. Eight entries see
+// three bad answers of v2 each: alone none crosses the threshold, merged they do.
+func TestMergedCountsHaltTheVersion(t *testing.T) {
 	is := is.New(t)
 	var gs []*Guard
 	for i := range 8 {
@@ -51,18 +50,18 @@
 		gs = append(gs, g)
 	}
 	for _, from := range gs[1:] {
-		tell(from, gs[0])
+		gossip(from, gs[0])
 	}
 	is.True(gs[0].Halted(subject))
-	is.True(tell(gs[0], gs[5])) // news for another entry
+	is.True(gossip(gs[0], gs[5])) // new to the other entry
 	is.True(gs[5].Halted(subject))
-	is.True(!tell(gs[0], gs[5])) // and then no longer
+	is.True(!gossip(gs[0], gs[5])) // already known
 }
 
-// TestHaltOutlivesAKVOutage: symptom: a halted version comes back when the
-// entries are replaced. Sequence: a version is halted while the KV is down
-// (or its answer is lost), the KV returns, an entry starts afresh. Cause, if
-// the halt were written once: the write was lost with the outage.
+// TestHaltOutlivesAKVOutage guards against a halted version that is served
+// again after the entries are replaced. It is halted while the KV is down (or
+// its answer is lost); a halt written only once would be lost, and an entry
+// started after the outage would not learn it.
 func TestHaltOutlivesAKVOutage(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -72,7 +71,7 @@
 		g.Observe(subject, true)
 	}
 	is.True(g.Halted(subject))
-	g.Persist(ctx, downKV{store})
+	g.Persist(ctx, unavailableKV{store})
 	is.True(!g.State()[subject].Stored)
 	g.Persist(ctx, store)
 	is.True(g.State()[subject].Stored)
@@ -83,15 +82,15 @@
 	is.True(fresh.Halted(subject))
 }
 
-type downKV struct{ *memkv.Store }
+type unavailableKV struct{ *memkv.Store }
 
-func (downKV) CompareAndPut(context.Context, string, kv.Revision, []byte, kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
+func (unavailableKV) CompareAndPut(context.Context, string, kv.Revision, []byte, kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
 	return false, 0, nil, kv.ErrUnavailable
 }
 
-// TestPropertyHaltsOnlyGrow: whatever digests arrive, late, repeated or out
-// of order, a halt once known stays known, and counts never go back.
-func TestPropertyHaltsOnlyGrow(t *testing.T) {
+// TestPropertyHaltsAndCountsAreMonotonic checks that whatever digests arrive,
+// late, repeated or out of order, a known halt stays and counts never decrease.
+func TestPropertyHaltsAndCountsAreMonotonic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gs := []*Guard{newGuard("a"), newGuard("b"), newGuard("c")}
 		var old []*peerpb.Digest
@@ -104,28 +103,28 @@
 				gs[at].Observe(subject, rapid.Bool().Draw(rt, "bad"))
 			case 1:
 				d := &peerpb.Digest{}
-				gs[at].Topic(everyone).Fill(d, true)
+				gs[at].Topic(allLocal).Fill(d, true)
 				old = append(old, d)
 			case 2:
 				if len(old) > 0 {
 					d := old[rapid.IntRange(0, len(old)-1).Draw(rt, "digest")]
-					gs[at].Topic(everyone).Merge(context.Background(), peers.Received{Digest: d})
+					gs[at].Topic(allLocal).Merge(context.Background(), peers.Received{Digest: d})
 				}
 			}
 			if halted[at] && !gs[at].Halted(subject) {
-				rt.Fatal("a halt was forgotten")
+				rt.Fatal("a known halt was lost")
 			}
 			halted[at] = gs[at].Halted(subject)
 			if gs[at].State()[subject].Samples < before {
-				rt.Fatal("counts went back")
+				rt.Fatal("counts decreased")
 			}
 		}
 	})
 }
 
-// answersToHalt plays answers that are bad with probability rate until the
-// test halts the version, limit at most.
-func answersToHalt(rng *rand.Rand, rate float64, line float64, limit int) int {
+// answersToHalt draws answers that are bad with probability rate and returns
+// how many it takes until the statistic reaches haltAt, limit at most.
+func answersToHalt(rng *rand.Rand, rate float64, haltAt float64, limit int) int {
 	var c cusum
 	for i := 1; i <= limit; i++ {
 		bad := int64(0)
@@ -133,17 +132,17 @@
 			bad = 1
 		}
 		c.add(1-bad, bad)
-		if float64(c) >= line {
+		if float64(c) >= haltAt {
 			return i
 		}
 	}
 	return limit
 }
 
-// TestHaltRates bounds, with a fixed seed, what the chosen threshold costs:
-// a version whose every answer is bad gets at most 5 answers before the
-// halt, a half bad one 20 on average, and of 200 versions that are well (1
-// bad answer in 100) over 20,000 answers each none is halted.
+// TestHaltRates bounds the cost of the threshold, with a fixed seed: a version
+// whose every answer is bad gives at most 5 answers before the halt, one with
+// half of them bad 20 on average, and of 200 healthy versions (1 bad answer in
+// 100) over 20,000 answers each none is halted.
 func TestHaltRates(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -156,16 +155,16 @@
 	is.True(sum/200 <= 20)
 }
 
-// BenchmarkHalt gives the mean answers until a halt at several bad rates and
-// thresholds: exposure for rates above badRate, false alarms below okRate.
+// BenchmarkHalt measures the mean number of answers until a halt at several bad
+// rates and thresholds: exposure above badRate, false alarms below okRate.
 func BenchmarkHalt(b *testing.B) {
-	for _, line := range []float64{4, 6, 8, 10} {
+	for _, haltAt := range []float64{4, 6, 8, 10} {
 		for _, rate := range []float64{0.02, 0.05, 0.2, 0.3, 0.5, 1} {
-			b.Run(fmt.Sprintf("threshold=%v/bad=%v", line, rate), func(b *testing.B) {
+			b.Run(fmt.Sprintf("threshold=%v/bad=%v", haltAt, rate), func(b *testing.B) {
 				rng := rand.New(rand.NewPCG(1, 2))
 				sum := 0
 				for range b.N {
-					sum += answersToHalt(rng, rate, line, 200000)
+					sum += answersToHalt(rng, rate, haltAt, 200000)
 				}
 				b.ReportMetric(float64(sum)/float64(b.N), "answers/halt")
 			})
@@ -173,19 +172,17 @@
 	}
 }
 
-// TestNewcomerDoesNotHaltAGoodVersion: symptom: a version that is well is
-// halted everywhere moments after an entry was replaced. Sequence: an entry
-// has counted thousands of answers with a few bad ones among them; a new
-// entry hears its totals for the first time, in one digest. Cause, when a
-// digest's bad answers counted as if they had come last and together: the
-// few of a long time look like a burst.
-func TestNewcomerDoesNotHaltAGoodVersion(t *testing.T) {
+// TestNewEntryDoesNotHaltAGoodVersion guards against a healthy version that is
+// halted everywhere just after an entry was replaced. The new entry receives, in
+// one digest, totals of thousands of answers with a few bad ones; when these
+// counted as if they had come last and together, they looked like a burst.
+func TestNewEntryDoesNotHaltAGoodVersion(t *testing.T) {
 	is := is.New(t)
 	old, fresh := newGuard("old"), newGuard("fresh")
 	for i := range 10000 {
 		old.Observe(subject, i%50 == 0) // 2% bad
 	}
 	is.True(!old.Halted(subject))
-	tell(old, fresh)
+	gossip(old, fresh)
 	is.True(!fresh.Halted(subject))
 }
