--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/lovageweir/lovageweir/internal/synth"
 )
 
-// benchSizes scale back ends and customers together so slopes per back end
-// and per customer can be read off; the last is the letter's target.
+// benchSizes scale back ends and customers together to show the cost per back
+// end and per customer; the last is the target size.
 var benchSizes = []synth.Size{
 	{Customers: 200, Models: 9, VersionsPerModel: 2, Backends: 360, Domains: 13},
 	{Customers: 700, Models: 9, VersionsPerModel: 2, Backends: 1200, Domains: 13},
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("backends=%d/customers=%d", s.Backends, s.Customers)
 }
 
-// BenchmarkNewTable is the CPU an entry spends compiling one configuration
-// revision, and (table-heap-B) the heap the compiled table keeps.
+// BenchmarkNewTable measures the CPU time of compiling one configuration
+// revision, and (table-heap-B) the heap that the compiled table retains.
 func BenchmarkNewTable(b *testing.B) {
 	for _, s := range benchSizes {
 		doc := synth.Document(s)
@@ -44,11 +44,11 @@
 	}
 }
 
-type noLoads struct{}
+type zeroLoads struct{}
 
-func (noLoads) State(*BackendInfo) (int, bool) { return 0, true }
+func (zeroLoads) State(*BackendInfo) (int, bool) { return 0, true }
 
-// BenchmarkDecide is the per-request routing decision on the data path.
+// BenchmarkDecide measures the routing decision of one request.
 func BenchmarkDecide(b *testing.B) {
 	for _, s := range benchSizes {
 		t := NewTable(1, synth.Document(s))
@@ -57,7 +57,7 @@
 			for i := 0; i < b.N; i++ {
 				c := i % s.Customers
 				r := Request{APIKey: synth.APIKey(c), Model: synth.ModelName(c % s.Models), Session: "s", AffinityKey: "prefix"}
-				if _, ref := t.Decide(r, View{Domain: "fd-00", Endpoints: noLoads{}}); ref != nil {
+				if _, ref := t.Decide(r, View{Domain: "fd-00", Endpoints: zeroLoads{}}); ref != nil {
 					b.Fatal(ref)
 				}
 			}
--- a/route/decide.go
+++ b/route/decide.go
@@ -10,12 +10,12 @@
 	"github.com/lovageweir/lovageweir/config"
 )
 
-// Request is what the decision needs to know about one call.
+// Request is the input to a routing decision.
 type Request struct {
 	APIKey string
 	Model  string
-	// Session is the caller's session id; empty for a one-off request, which
-	// then falls to a version by its ID.
+	// Session is the caller's session id. It is empty for a one-off request,
+	// whose version is picked by ID instead.
 	Session string
 	ID      string
 	// Pins are the versions a verified session token carries, by model, for
@@ -23,12 +23,12 @@
 	// ignored.
 	Pins           map[string]string
 	PinnedCustomer string
-	// AffinityKey groups requests that share a prompt prefix, so they land
-	// where that prefix is likely cached.
+	// AffinityKey groups requests that share a prompt prefix, so that they
+	// go to an engine that likely has it cached.
 	AffinityKey string
 }
 
-// Decision says where a request goes.
+// Decision is the routing decision for one request.
 type Decision struct {
 	Customer   string
 	Model      string
@@ -37,8 +37,8 @@
 	Candidates []BackendInfo // in order of preference
 }
 
-// Refusal codes. Every refusal from Decide is made before anything is sent
-// to a back end, so all of them are truthfully "not run".
+// Refusal codes. Decide refuses before anything is sent to a back end, so a
+// refused request is known not to have run.
 const (
 	CodeUnknownKey       = "unknown_api_key"
 	CodeModelNotAllowed  = "model_not_allowed"
@@ -47,29 +47,28 @@
 	CodeShed             = "shed"
 )
 
-// shedRetry is how long a shed caller should wait: about an answer's time.
+// shedRetry is the retry delay for shed requests: about the time of one answer.
 const shedRetry = 2 * time.Second
 
-// The share of a back end's capacity kept free for each step of priority
-// above a customer's, and at most.
+// The share of a back end's capacity reserved per priority level above a
+// customer's, and its maximum.
 const (
 	reserveStep = 0.1
 	reserveMax  = 0.3
 )
 
-// Reserve is how many places of a back end with the given capacity are kept
-// free of customers that are below levels of priority under the highest. A
-// pool that is full refuses whoever comes next; keeping places free of the
-// lower ones first is what lets a higher one still in.
-func Reserve(capacity, below int) int {
-	return int(min(reserveStep*float64(below), reserveMax) * float64(capacity))
+// Reserve returns how many slots of a back end with the given capacity are kept
+// free of customers whose priority is levelsBelow under the highest. A full pool
+// refuses whoever comes next; slots kept free of low priorities admit higher ones.
+func Reserve(capacity, levelsBelow int) int {
+	return int(min(reserveStep*float64(levelsBelow), reserveMax) * float64(capacity))
 }
 
-// noBackendRetry is how long a caller should wait when no back end serves the
-// version: roughly the time for the instance list and load reports to move.
+// noBackendRetry is the retry delay when no back end serves the version:
+// roughly the time in which the instance list and load reports are updated.
 const noBackendRetry = 2 * time.Second
 
-// Refusal is a truthful answer that the request did not run.
+// Refusal is the error for a request that did not run.
 type Refusal struct {
 	Code       string
 	Status     int
@@ -79,20 +78,20 @@
 
 func (r *Refusal) Error() string { return r.Code + ": " + r.Message }
 
-// Endpoints tells a back end's current load (lower is better) and whether it
-// may be given new work, in one call, so a decision takes the table's lock
-// once per back end it looks at.
+// Endpoints reports a back end's current load (lower is better) and whether it
+// accepts new requests, in one call, so that a decision takes the lock once per
+// back end it considers.
 type Endpoints interface {
 	State(b *BackendInfo) (load int, usable bool)
 }
 
-// Halts tells whether a version was halted for answering badly.
+// Halts reports whether a version was halted for too many bad answers.
 type Halts interface {
 	Halted(subject string) bool
 }
 
-// View is what a decision knows besides the configuration. Nil fields are
-// left out of account.
+// View is the runtime state a decision uses besides the configuration. Nil
+// fields are ignored.
 type View struct {
 	Domain    string // the entry's failure domain
 	Endpoints Endpoints
@@ -103,7 +102,7 @@
 
 // Decide routes one request for one model under table t.
 func (t *Table) Decide(r Request, view View) (*Decision, *Refusal) {
-	cust, ok := t.byKey[r.APIKey]
+	cust, ok := t.customerByKey[r.APIKey]
 	if !ok {
 		return nil, &Refusal{Code: CodeUnknownKey, Status: http.StatusUnauthorized, Message: "the API key is not known"}
 	}
@@ -129,10 +128,10 @@
 	return &Decision{Customer: cust, Model: r.Model, Version: version, Priority: c.Priority, Candidates: cands}, nil
 }
 
-// shed reports whether a request of that priority is refused while the best
-// back end has load requests.
+// shed reports whether a request of that priority is refused when the lowest
+// load among the candidates is load.
 func (t *Table) shed(capacity, load, priority int) bool {
-	reserve := Reserve(capacity, t.highest-priority)
+	reserve := Reserve(capacity, t.highestPriority-priority)
 	return reserve > 0 && load >= capacity-reserve
 }
 
@@ -140,22 +139,21 @@
 	return slices.Contains(allowed, config.AnyVersion) || slices.Contains(allowed, v)
 }
 
-// pickVersion keeps a pinned session on its version, and otherwise picks an
-// active version by weight, hashed on the session so a session without a
-// token still lands on one version while the weights hold, and on the
-// request's own id when it has none. A halted
-// version's weight goes to the baseline it is guarded against.
+// pickVersion keeps a pinned session on its version. Otherwise it picks an
+// active version by weight, hashed on the session, so that a session without a
+// token stays on one version while the weights are unchanged, or on the request
+// ID if there is no session. A halted version's weight goes to its baseline.
 func (t *Table) pickVersion(r Request, cust string, allowed []string, view View) (string, *Refusal) {
 	if pin := r.Pins[r.Model]; pin != "" && r.PinnedCustomer == cust {
 		v, ok := t.doc.Models[r.Model].Versions[pin]
 		if !ok || v.State != config.StateActive || !versionAllowed(allowed, pin) || view.halted(Subject(r.Model, pin, v)) {
-			// A silent switch would break the session's promise; say so.
+			// Refuse rather than switch the session to another version silently.
 			return "", &Refusal{Code: CodeVersionWithdrawn, Status: http.StatusConflict,
 				Message: fmt.Sprintf("session version %s@%s is no longer offered; start a new session", r.Model, pin)}
 		}
 		return pin, nil
 	}
-	var pool []weighted
+	var pool []weightedVersion
 	total := 0
 	for _, w := range t.active[r.Model] {
 		if view.halted(w.subject) {
@@ -170,11 +168,11 @@
 		return "", &Refusal{Code: CodeModelNotAllowed, Status: http.StatusForbidden,
 			Message: fmt.Sprintf("customer %s may use no active version of %s", cust, r.Model)}
 	}
-	by := r.Session
-	if by == "" {
-		by = r.ID
+	hashKey := r.Session
+	if hashKey == "" {
+		hashKey = r.ID
 	}
-	point := int(mix(hash64(by)) % uint64(total))
+	point := int(mix(hash64(hashKey)) % uint64(total))
 	for _, w := range pool {
 		if point < w.weight {
 			return w.version, nil
@@ -184,17 +182,17 @@
 	return pool[len(pool)-1].version, nil
 }
 
-// maxCandidates is how many back ends a decision hands to dispatch: enough
-// for the retry budget and a few provable refusals. The least loaded come
-// first, so when they are all full the rest are likely full too, and the
-// caller is told to come back rather than made to wait.
+// maxCandidates is how many back ends a decision hands to dispatch: enough for
+// the retry budget and a few refusals that provably did not run. The least
+// loaded come first, so when they are all full the rest likely are too, and the
+// caller is told to retry later instead of being kept waiting.
 const maxCandidates = 4
 
 // candidates picks the best back ends of one version: own failure domain
-// first (a cut-off domain keeps serving itself), then the lowest level of
-// load, then prefix affinity by rendezvous hashing so a shared prefix tends to one
-// engine. Other domains are scanned only when the own one has too few. least
-// is the smallest load among them.
+// first (a partitioned domain keeps serving itself), then the lowest load level,
+// then prefix affinity by rendezvous hashing, so that a shared prefix tends to
+// go to one engine. Other domains are scanned only when the own one has too few.
+// least is the smallest load among the candidates.
 func (t *Table) candidates(model, version, affinity string, view View) (list []BackendInfo, least int) {
 	vb := t.backends[modelVersion{model, version}]
 	if vb == nil {
@@ -220,26 +218,28 @@
 }
 
 type scored struct {
-	info     *BackendInfo // the table's own
+	info     *BackendInfo // points into the Table
 	local    bool
 	load     int
-	level    int // load in quarters of the capacity
+	level    int // see levelOf
 	affinity uint64
 }
 
-// Loads are compared in levels, so that prefix affinity decides among back
-// ends that are about equally loaded: compared one by one, loads are hardly
-// ever equal, and a shared prefix is read again on engine after engine
-// (docs/CAPACITY.md has BenchmarkPrefixLocality's figures). It also keeps
-// entries that all saw the same lagging report from picking the same engine.
+// Loads are compared in levels, so that prefix affinity decides among back ends
+// that are about equally loaded: exact loads are hardly ever equal, and a shared
+// prefix would be prefilled again on engine after engine (docs/CAPACITY.md has
+// the figures of BenchmarkPrefixLocality). Levels also keep entries that saw the
+// same stale report from all picking the same engine.
 const (
-	loadLevels   = 4
-	levelUnknown = 4 // requests a level where the capacity is not known
+	loadLevels       = 4
+	requestsPerLevel = 4 // where the capacity is unknown
 )
 
+// levelOf returns load in quarters of the capacity, or in steps of
+// requestsPerLevel where the capacity is unknown.
 func levelOf(load, capacity int) int {
 	if capacity <= 0 {
-		return load / levelUnknown
+		return load / requestsPerLevel
 	}
 	return load / max(capacity/loadLevels, 1)
 }
@@ -293,7 +293,7 @@
 	k.items[pos] = s
 }
 
-// mix is the splitmix64 finalizer: it spreads an xor of two hashes so
+// mix is the splitmix64 finalizer. It spreads the XOR of two hashes so that
 // rendezvous scores are independent per back end.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
@@ -304,11 +304,11 @@
 	return x
 }
 
-// Steps returns what a request for name may go through: the cascade's steps
-// that the customer may use, or the one model. It is empty when the customer
-// may not use name at all.
+// Steps returns the steps of a request for name: those of the cascade that the
+// customer may use, or the one model. It is empty if the customer may not use
+// the cascade or any of its steps.
 func (t *Table) Steps(apiKey, name string) []config.Step {
-	c := t.doc.Customers[t.byKey[apiKey]]
+	c := t.doc.Customers[t.customerByKey[apiKey]]
 	cascade, ok := t.doc.Cascades[name]
 	if !ok {
 		return []config.Step{{Model: name}}
--- a/route/property_test.go
+++ b/route/property_test.go
@@ -11,8 +11,8 @@
 	_ "github.com/lovageweir/lovageweir/internal/rapidseed"
 )
 
-// view is an entry in fd-1 that knows nothing but the configuration.
-var view = View{Domain: "fd-1"}
+// configOnlyView is that of an entry in fd-1 without any runtime state.
+var configOnlyView = View{Domain: "fd-1"}
 
 // genDoc draws a document with one customer whose allow list is a random
 // subset of a model's versions, random roll-out weights, and one back end
@@ -34,8 +34,8 @@
 	return doc, allowed
 }
 
-// reweigh draws a roll-out step: new weights, and maybe a withdrawal.
-func reweigh(t *rapid.T, doc *config.Document) *config.Document {
+// nextRolloutStep draws new weights and possibly withdrawn versions.
+func nextRolloutStep(t *rapid.T, doc *config.Document) *config.Document {
 	next := *doc
 	m := config.Model{Versions: map[string]config.Version{}}
 	for v, ver := range doc.Models["m"].Versions {
@@ -49,7 +49,7 @@
 	return &next
 }
 
-// TestPropertyDecisionStaysInAllowList: invariant 1. Whatever the weights,
+// TestPropertyDecisionStaysInAllowList checks invariant 1. Whatever the weights,
 // sessions and pins (even a pin forged for a version outside the allow
 // list), a decision names only a version the customer may use, and only
 // back ends of that version.
@@ -59,7 +59,7 @@
 		tab := NewTable(1, doc)
 		r := Request{APIKey: "k", Model: "m", Session: rapid.String().Draw(t, "session"),
 			Pins: map[string]string{"m": rapid.SampledFrom([]string{"", "v0", "v1", "v2", "v3", "v4"}).Draw(t, "pin")}, PinnedCustomer: "c"}
-		dec, ref := tab.Decide(r, view)
+		dec, ref := tab.Decide(r, configOnlyView)
 		if ref != nil {
 			return
 		}
@@ -74,25 +74,22 @@
 	})
 }
 
-// TestPropertySessionKeepsItsVersion: invariant 3. Symptom it guards
-// against: a session answered by v1 and then, mid-conversation, by v2.
-// Sequence: a session starts under one set of roll-out weights, the
-// operator moves the weights or withdraws versions, the session's next
-// request arrives. Cause, without a pin: the version is a hash of the
-// session over the weights, so new weights move it. With the pin the
-// version is kept, or the request is refused as version_withdrawn: never a
-// silent switch.
+// TestPropertySessionKeepsItsVersion checks invariant 3: a session never changes
+// its version. Without a pin the version is a hash of the session over the
+// weights, so an operator who changes the weights or withdraws versions would
+// move it mid-conversation. With the pin the version is kept, or the request is
+// refused as version_withdrawn.
 func TestPropertySessionKeepsItsVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc, _ := genDoc(t)
 		sess := rapid.StringN(1, 12, -1).Draw(t, "session")
-		first, ref := NewTable(1, doc).Decide(Request{APIKey: "k", Model: "m", Session: sess}, view)
+		first, ref := NewTable(1, doc).Decide(Request{APIKey: "k", Model: "m", Session: sess}, configOnlyView)
 		if ref != nil {
 			return
 		}
-		next := NewTable(2, reweigh(t, doc))
+		next := NewTable(2, nextRolloutStep(t, doc))
 		again, ref := next.Decide(Request{APIKey: "k", Model: "m", Session: sess,
-			Pins: map[string]string{"m": first.Version}, PinnedCustomer: first.Customer}, view)
+			Pins: map[string]string{"m": first.Version}, PinnedCustomer: first.Customer}, configOnlyView)
 		if ref != nil {
 			if ref.Code != CodeVersionWithdrawn && ref.Code != CodeNoBackend {
 				t.Fatalf("refusal %s for a pinned session", ref.Code)
@@ -105,15 +102,15 @@
 	})
 }
 
-// TestPropertyWithdrawnVersionGetsNoNewWork: invariant 2 at the decision.
-// No request, pinned or not, is routed to a withdrawn version.
+// TestPropertyWithdrawnVersionGetsNoNewWork checks invariant 2 for decisions: no
+// request, pinned or not, is routed to a withdrawn version.
 func TestPropertyWithdrawnVersionGetsNoNewWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc, _ := genDoc(t)
-		doc = reweigh(t, doc)
+		doc = nextRolloutStep(t, doc)
 		tab := NewTable(1, doc)
 		pin := rapid.SampledFrom([]string{"", "v0", "v1", "v2", "v3", "v4"}).Draw(t, "pin")
-		dec, ref := tab.Decide(Request{APIKey: "k", Model: "m", Session: rapid.String().Draw(t, "s"), Pins: map[string]string{"m": pin}, PinnedCustomer: "c"}, view)
+		dec, ref := tab.Decide(Request{APIKey: "k", Model: "m", Session: rapid.String().Draw(t, "s"), Pins: map[string]string{"m": pin}, PinnedCustomer: "c"}, configOnlyView)
 		if ref != nil {
 			return
 		}
@@ -123,20 +120,20 @@
 	})
 }
 
-type mapLoads map[string]int
+type loadMap map[string]int
 
-func (m mapLoads) State(b *BackendInfo) (int, bool) { l := m[b.Name]; return l, l >= 0 }
+func (m loadMap) State(b *BackendInfo) (int, bool) { l := m[b.Name]; return l, l >= 0 }
 
-// TestPropertyCandidatesAreTheBestOfAll: the domain index and top-K
-// selection pick exactly what scoring every back end and sorting would:
-// the own domain first, then least loaded, then affinity; leaving ones
-// (negative load here) never.
-func TestPropertyCandidatesAreTheBestOfAll(t *testing.T) {
+// TestPropertyCandidatesMatchFullSort checks that the domain index and top-K
+// selection pick exactly what scoring and sorting every back end would: own
+// domain first, then least loaded, then affinity, and never a leaving one
+// (negative load here).
+func TestPropertyCandidatesMatchFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "backends")
 		doc := &config.Document{Backends: map[string]config.Backend{},
 			Models: map[string]config.Model{"m": {Versions: map[string]config.Version{"v1": {State: config.StateActive, Weight: 1}}}}}
-		loads := mapLoads{}
+		loads := loadMap{}
 		for i := 0; i < n; i++ {
 			name := fmt.Sprintf("b%02d", i)
 			doc.Backends[name] = config.Backend{Kind: config.KindEngine, Address: name, Model: "m", Version: "v1",
@@ -179,12 +176,10 @@
 
 func (h haltSet) Halted(subject string) bool { return h[subject] }
 
-// TestPropertyHaltedVersionGetsNoNewWork: invariant 2 for a version halted
-// by its guard. Symptom: customers go on getting drafts of a version that
-// was halted. Sequence: a guarded version is halted while sessions are
-// pinned to it and weights send it new ones. Here no request reaches it; new
-// sessions go to its baseline if the customer may use that, else are
-// refused, and pinned ones are told version_withdrawn.
+// TestPropertyHaltedVersionGetsNoNewWork checks invariant 2 for a version halted
+// by its guard while sessions are pinned to it and the weights send it new ones.
+// No request may reach it: new sessions go to its baseline if the customer may
+// use that and are refused otherwise; pinned ones get version_withdrawn.
 func TestPropertyHaltedVersionGetsNoNewWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc, allowed := genDoc(t)
@@ -212,11 +207,9 @@
 	})
 }
 
-// TestOneOffRequestsFollowTheWeights: symptom: a roll-out at 10% gets all of
-// the traffic, or none. Sequence: callers that give no session id ask while
-// v2 has a weight of 10 in 100. Cause, when the version was hashed on the
-// session alone: every request without one hashed alike, so all of them went
-// to one version.
+// TestOneOffRequestsFollowTheWeights guards against a roll-out at 10% that gets
+// all or none of the requests without a session: when the version was hashed on
+// the session alone, all of them had the same hash and went to one version.
 func TestOneOffRequestsFollowTheWeights(t *testing.T) {
 	doc := &config.Document{
 		Models: map[string]config.Model{"m": {Versions: map[string]config.Version{
@@ -230,7 +223,7 @@
 	got := 0
 	const n = 10000
 	for i := range n {
-		dec, ref := tab.Decide(Request{APIKey: "k", Model: "m", ID: fmt.Sprintf("e1-dnaj4oc4spzp-%d", i)}, view)
+		dec, ref := tab.Decide(Request{APIKey: "k", Model: "m", ID: fmt.Sprintf("e1-dnaj4oc4spzp-%d", i)}, configOnlyView)
 		if ref != nil {
 			t.Fatal(ref)
 		}
@@ -243,10 +236,10 @@
 	}
 }
 
-// TestPropertyShedsTheLowestFirst: a pool out of capacity. Whatever the load,
-// a customer is shed only if every lower priority is shed too, the highest is
-// never shed here, and with room for all none is.
-func TestPropertyShedsTheLowestFirst(t *testing.T) {
+// TestPropertyShedsLowestPriorityFirst checks a pool short of capacity. Whatever
+// the load, a customer is shed only if every lower priority is too, the highest
+// is never shed, and below 7/10 of the capacity none is.
+func TestPropertyShedsLowestPriorityFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 100).Draw(t, "capacity")
 		load := rapid.IntRange(0, 120).Draw(t, "load")
@@ -260,21 +253,21 @@
 			doc.Customers[fmt.Sprint(p)] = config.Customer{APIKeys: []string{fmt.Sprint(p)}, Priority: p, Allow: map[string][]string{"m": {"*"}}}
 		}
 		tab := NewTable(1, doc)
-		shedAbove := false
+		higherShed := false
 		for p := levels - 1; p >= 0; p-- {
-			_, ref := tab.Decide(Request{APIKey: fmt.Sprint(p), Model: "m", ID: "r"}, View{Domain: "fd-1", Endpoints: mapLoads{"b": load}})
+			_, ref := tab.Decide(Request{APIKey: fmt.Sprint(p), Model: "m", ID: "r"}, View{Domain: "fd-1", Endpoints: loadMap{"b": load}})
 			shed := ref != nil && ref.Code == CodeShed
 			switch {
-			case shedAbove && !shed:
+			case higherShed && !shed:
 				t.Fatalf("priority %d is served while a higher one is shed", p)
 			case shed && p == levels-1:
 				t.Fatal("the highest priority is shed")
 			case shed && load < capacity*7/10:
 				t.Fatalf("shed at load %d of %d", load, capacity)
 			case shed && ref.RetryAfter == 0:
-				t.Fatal("shed without a time to come back")
+				t.Fatal("shed without RetryAfter")
 			}
-			shedAbove = shed
+			higherShed = shed
 		}
 	})
 }
--- a/route/table.go
+++ b/route/table.go
@@ -10,20 +10,20 @@
 
 // Table is the compiled, read-only form of one configuration revision.
 type Table struct {
-	Revision kv.Revision
-	doc      *config.Document
-	byKey    map[string]string     // API key -> customer
-	active   map[string][]weighted // model -> active versions
-	backends map[modelVersion]*versionBackends
-	engines  map[string][]BackendInfo // by failure domain, sorted by name
+	Revision      kv.Revision
+	doc           *config.Document
+	customerByKey map[string]string            // API key -> customer
+	active        map[string][]weightedVersion // model -> active versions
+	backends      map[modelVersion]*versionBackends
+	engines       map[string][]BackendInfo // by failure domain, sorted by name
 	// addresses are those of all back ends.
-	addresses map[string]struct{}
-	highest   int // the highest priority of any customer
+	addresses       map[string]struct{}
+	highestPriority int // of any customer
 }
 
-// versionBackends indexes one version's back ends by failure domain, so a
-// decision scans its own domain first (~1/13 of them at target size) and
-// the others only when its own has too few.
+// versionBackends indexes one version's back ends by failure domain, so that a
+// decision scans its own domain first (about 1/13 of them at the target size)
+// and the others only when its own has too few.
 type versionBackends struct {
 	byDomain map[string][]backendEntry // each sorted by name
 	domains  []string                  // sorted
@@ -34,15 +34,15 @@
 	nameHash uint64 // for prefix affinity, computed once per revision
 }
 
-type weighted struct {
+type weightedVersion struct {
 	version  string
 	weight   int
 	subject  string // for Halts
-	baseline string // serves instead when the version is halted; may be ""
+	baseline string // version served instead after a halt; may be ""
 }
 
-// Subject names one attempt at bringing in a version, as Halts knows it.
-// Halts only ever grow, so an operator who wants to try a halted version
+// Subject identifies one attempt to roll out a version; Halts is keyed by it.
+// Halts are never revoked, so an operator who wants to try a halted version
 // again raises its attempt.
 func Subject(model, version string, v config.Version) string {
 	return fmt.Sprintf("%s@%s#%d", model, version, v.Attempt)
@@ -57,37 +57,37 @@
 	Domain     string
 	Kind       string
 	Idempotent bool
-	Capacity   int // requests at once; 0: not known
+	Capacity   int // concurrent requests; 0 if unknown
 	Model      string
 	Version    string
 }
 
-// Serves is the model@version the back end is configured to serve: the model
-// name it is called with, so that one that serves another refuses.
+// Serves returns the model@version the back end is configured to serve. It is
+// called with this model name, so that one serving another version refuses.
 func (b *BackendInfo) Serves() string { return b.Model + "@" + b.Version }
 
 // NewTable compiles a validated document.
 func NewTable(rev kv.Revision, doc *config.Document) *Table {
 	t := &Table{
-		Revision: rev,
-		doc:      doc,
-		byKey:    map[string]string{},
-		active:   map[string][]weighted{},
-		backends: map[modelVersion]*versionBackends{},
-		engines:  map[string][]BackendInfo{},
+		Revision:      rev,
+		doc:           doc,
+		customerByKey: map[string]string{},
+		active:        map[string][]weightedVersion{},
+		backends:      map[modelVersion]*versionBackends{},
+		engines:       map[string][]BackendInfo{},
 
 		addresses: make(map[string]struct{}, len(doc.Backends)),
 	}
 	for name, c := range doc.Customers {
 		for _, k := range c.APIKeys {
-			t.byKey[k] = name
+			t.customerByKey[k] = name
 		}
-		t.highest = max(t.highest, c.Priority)
+		t.highestPriority = max(t.highestPriority, c.Priority)
 	}
 	for name, m := range doc.Models {
 		for v, ver := range m.Versions {
 			if ver.State == config.StateActive && ver.Weight > 0 {
-				t.active[name] = append(t.active[name], weighted{version: v, weight: ver.Weight, subject: Subject(name, v, ver), baseline: baselineOf(m, ver)})
+				t.active[name] = append(t.active[name], weightedVersion{version: v, weight: ver.Weight, subject: Subject(name, v, ver), baseline: baselineOf(m, ver)})
 			}
 		}
 		sort.Slice(t.active[name], func(i, j int) bool { return t.active[name][i].version < t.active[name][j].version })
@@ -119,8 +119,8 @@
 	return t
 }
 
-// baselineOf is the version that takes over from a halted one, if it is
-// still offered.
+// baselineOf returns the version that replaces v when v is halted, or "" if
+// that version is not active.
 func baselineOf(m config.Model, v config.Version) string {
 	if v.Guard == nil || m.Versions[v.Guard.Baseline].State != config.StateActive {
 		return ""
@@ -138,21 +138,22 @@
 	return ok
 }
 
-// HasAddress reports whether a back end of the configuration is there.
+// HasAddress reports whether a configured back end has the address.
 func (t *Table) HasAddress(address string) bool {
 	_, ok := t.addresses[address]
 	return ok
 }
 
-// Guarded returns the subject of a version and what its answers must come
-// to, or nil when the version is not guarded.
+// Guarded returns the subject of a version and its guard, which is nil when the
+// version is not guarded.
 func (t *Table) Guarded(model, version string) (string, *config.Guard) {
 	v := t.doc.Models[model].Versions[version]
 	return Subject(model, version, v), v.Guard
 }
 
-// SkipBelow is the share of answers that must pass a cascade's step with
-// model for it to be worth trying before the step with next.
+// SkipBelow returns the share of answers that must pass a cascade's step with
+// model for it to be worth trying before the step with next: the configured
+// one, else the ratio of their costs.
 func (t *Table) SkipBelow(cascade, model, next string) float64 {
 	if s := t.doc.Cascades[cascade].SkipBelow; s > 0 {
 		return s
