--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -7,25 +7,25 @@
 	"github.com/lovageweir/lovageweir/place"
 )
 
-// Choice is which endpoints may get a request.
+// Choice holds the endpoints that may get a request.
 type Choice struct {
-	// First are the endpoints of the version that the request falls to, Then
-	// those that may take it when none of First can.
+	// First are the endpoints of the version selected for the request, Then those used if
+	// none of First can take it.
 	First, Then []fleet.Endpoint
-	// LastResort are those that lapsed and may be tried when neither can. A version
-	// that gets no requests gets none of these either: an endpoint that is cut off from
-	// the store answers its callers as badly as before.
+	// LastResort are endpoints with a lapsed registration, tried if neither can. A halted
+	// or rolled-back version gets none of these either: an endpoint that is partitioned
+	// from the store still answers its callers badly.
 	LastResort []fleet.Lapsed
 }
 
-// Request is what the choice of a version needs to know.
+// Request holds the properties of a request that select its version.
 type Request struct {
 	ID      string
 	Session string
 	Route   string
 }
 
-// Choose splits a group's endpoints for one request.
+// Choose selects the endpoints for one request.
 func (c *Controller) Choose(g *fleet.Group, q Request) Choice {
 	r := g.Rollout
 	c.mu.Lock()
@@ -34,8 +34,8 @@
 	if r == nil {
 		return Choice{First: g.Ready, LastResort: g.Lapsed}
 	}
-	t := c.trackLocked(r)
-	older, newer := split(g.Ready, r.Target)
+	t := c.trackerLocked(r)
+	older, newer := splitByVersion(g.Ready, r.Target)
 	if r.State != fleet.RolloutDone && (t.halted || r.State == fleet.RolloutRolledBack) {
 		return Choice{First: older, LastResort: lapsedWithout(g.Lapsed, r.Target)}
 	}
@@ -44,8 +44,8 @@
 	return choice
 }
 
-// chooseLocked splits the ready endpoints while the version may get requests.
-func (c *Controller) chooseLocked(g *fleet.Group, t *track, q Request, older, newer []fleet.Endpoint) Choice {
+// chooseLocked selects among the ready endpoints while the version may get requests.
+func (c *Controller) chooseLocked(g *fleet.Group, t *tracker, q Request, older, newer []fleet.Endpoint) Choice {
 	r := g.Rollout
 	switch {
 	case r.State == fleet.RolloutDone:
@@ -53,22 +53,22 @@
 	case len(newer) == 0:
 		return Choice{First: older}
 	}
-	ofAll := c.shareLocked(t, r, len(older))
-	share := c.strataShareLocked(t, q, g, ofAll)
-	if c.fallsToNewLocked(r, q, share) {
-		return Choice{First: c.canaries(r, newer, len(older), ofAll), Then: older}
+	overall := c.shareLocked(t, r, len(older))
+	share := c.routeShareLocked(t, q, g, overall)
+	if c.routedToNewLocked(r, q, share) {
+		return Choice{First: c.canaryEndpoints(r, newer, len(older), overall), Then: older}
 	}
 	if len(older) == 0 {
 		return Choice{First: newer}
 	}
-	if !t.movedOn.IsZero() || t.holding {
+	if !t.promotedAt.IsZero() || t.holdingHalf {
 		return Choice{First: older}
 	}
-	point := q.point(r.Target)
-	return t.trialOrderLocked(g).choose(point >= share && point < 2*share)
+	position := q.position(r.Target)
+	return t.endpointOrderLocked(g).choose(position >= share && position < 2*share)
 }
 
-// lapsedWithout returns the endpoints that are not of a version.
+// lapsedWithout returns the lapsed endpoints of all other versions.
 func lapsedWithout(all []fleet.Lapsed, version string) []fleet.Lapsed {
 	var out []fleet.Lapsed
 	for _, l := range all {
@@ -79,99 +79,98 @@
 	return out
 }
 
-// shareLocked is the new version's share now. Once it has moved on it does not
-// go back, short of a halt: sessions would go to and fro.
-func (c *Controller) shareLocked(t *track, r *fleet.Rollout, older int) float64 {
-	if !t.movedOn.IsZero() {
-		return ShareAfter(c.Clock.Since(t.movedOn), r.Duration)
+// shareLocked returns the new version's current share. After promotion it does not go back
+// except by a halt, as sessions would move back and forth.
+func (c *Controller) shareLocked(t *tracker, r *fleet.Rollout, older int) float64 {
+	if !t.promotedAt.IsZero() {
+		return ShareAfterPromotion(c.Clock.Since(t.promotedAt), r.Duration)
 	}
 	sum := t.evidence.totals()
 	seen := sum.Samples
 	age := c.Clock.Since(t.seen)
-	doubt := t.evidence.doubt(c.decisionTimeLocked(t, r))
-	if doubt {
-		t.doubted = c.Clock.Now()
+	inDoubt := t.evidence.inDoubt(c.decisionProgressLocked(t, r))
+	if inDoubt {
+		t.lastDoubtAt = c.Clock.Now()
 	}
-	if t.late(r.Duration) && !MayMoveOnLate(age, r.Duration, seen, doubt) {
+	if t.late(r.Duration) && !MayPromoteLate(age, r.Duration, seen, inDoubt) {
 		return c.lateShareLocked(t, r, older, age)
 	}
-	if !MayMoveOn(age, r.Duration, seen, doubt) {
-		return firstShare(older)
+	if !MayPromote(age, r.Duration, seen, inDoubt) {
+		return canaryShare(older)
 	}
-	// Where the time alone is the reason, it counts from then, so that entries
-	// with few requests are not behind the others.
-	t.movedOn = c.Clock.Now()
+	// A promotion by time alone is dated to its deadline, so that entries with few requests
+	// do not fall behind the others.
+	t.promotedAt = c.Clock.Now()
 	slower, _ := t.evidence.slower()
-	latest := t.seen.Add(time.Duration(allBy * float64(r.Duration)))
-	if latest.Before(t.movedOn) && t.doubted.Before(latest) {
-		t.movedOn = latest
+	latest := t.seen.Add(time.Duration(fullShareBy * float64(r.Duration)))
+	if latest.Before(t.promotedAt) && t.lastDoubtAt.Before(latest) {
+		t.promotedAt = latest
 	}
 	c.Log.Info("rollout: moving on from the first share.", "service", r.Service, "order", t.ordered, "seen", seen,
-		"failed", sum.Failed, "slow", sum.Slow, "slow_statistic", t.evidence.at(allRoutes).slow, "slower_by", slower.by, "age_ms", age.Milliseconds())
-	return ShareAfter(c.Clock.Since(t.movedOn), r.Duration)
+		"failed", sum.Failed, "slow", sum.Slow, "slow_statistic", t.evidence.routeFor(allRoutes).slow, "slower_by", slower.deviations, "age_ms", age.Milliseconds())
+	return ShareAfterPromotion(c.Clock.Since(t.promotedAt), r.Duration)
 }
 
-// late reports whether the entry learned of the order when it had been under
-// way for long, as one does that was started since.
-func (t *track) late(whole time.Duration) bool {
-	return progress(t.learned.Sub(t.seen), whole) >= lateFrom
+// late reports whether the entry learned of the order late, for example because it was
+// started after the order.
+func (t *tracker) late(total time.Duration) bool {
+	return progress(t.learnedAt.Sub(t.seen), total) >= lateFrom
 }
 
-// lateShareLocked is the share of an entry that learned of the order late and
-// has seen too little of the version since. Were it to send all requests to
-// the new version because the time has come, no answer of the old one would
-// ever tell it what is usual, and a slow version looked well. It does not go
-// back from half: sessions would go to and fro.
-func (c *Controller) lateShareLocked(t *track, r *fleet.Rollout, older int, age time.Duration) float64 {
-	if progress(age, r.Duration) >= allBy && !t.holding {
-		t.holding = true
+// lateShareLocked returns the share of an entry that learned of the order late and has seen
+// too few answers. If it sent all requests to the new version at the deadline, it would
+// have no baseline from the old version, and a slow version would look good. It does not go
+// back from half, as sessions would move back and forth.
+func (c *Controller) lateShareLocked(t *tracker, r *fleet.Rollout, older int, age time.Duration) float64 {
+	if progress(age, r.Duration) >= fullShareBy && !t.holdingHalf {
+		t.holdingHalf = true
 		c.Log.Info("rollout: learned of the order late; half of the requests until enough was seen.", "service", r.Service, "order", t.ordered,
-			"age_ms", age.Milliseconds(), "learned_ago_ms", c.Clock.Since(t.learned).Milliseconds())
+			"age_ms", age.Milliseconds(), "learned_ago_ms", c.Clock.Since(t.learnedAt).Milliseconds())
 	}
-	if t.holding {
+	if t.holdingHalf {
 		return halfShare
 	}
-	return firstShare(older)
+	return canaryShare(older)
 }
 
-// fallsToNewLocked decides by a hash that only grows with the share, so that
-// nothing goes back and forth.
-func (c *Controller) fallsToNewLocked(r *fleet.Rollout, q Request, share float64) bool {
-	if q.point(r.Target) >= share {
+// routedToNewLocked decides by a hash. The set of selected requests only grows with the
+// share, so that none moves back and forth.
+func (c *Controller) routedToNewLocked(r *fleet.Rollout, q Request, share float64) bool {
+	if q.position(r.Target) >= share {
 		return false
 	}
-	return q.Session == "" || share > smallShare || !c.sessions.underWay(sessionHash(q.Session), c.Clock.Now())
+	return q.Session == "" || share > smallShare || !c.sessions.active(sessionHash(q.Session), c.Clock.Now())
 }
 
-// point is where the request stands among all, in [0, 1): those below a share
-// are moved with it. All of a session stand at the same.
-func (q Request) point(target string) float64 {
+// position maps a request to [0, 1): requests below a share are moved with it. All requests
+// of a session have the same position.
+func (q Request) position(target string) float64 {
 	if q.Session == "" {
 		return fraction(place.Hash(target, q.ID))
 	}
-	return sessionShare(sessionHash(q.Session))
+	return sessionPosition(sessionHash(q.Session))
 }
 
-// strataShareLocked is the share of a request's route in a first share of all.
-func (c *Controller) strataShareLocked(t *track, q Request, g *fleet.Group, share float64) float64 {
+// routeShareLocked returns the share for a request's route, given the canary share of all
+// requests.
+func (c *Controller) routeShareLocked(t *tracker, q Request, g *fleet.Group, share float64) float64 {
 	s := c.strataLocked(g.Service.Name)
-	if t.holding || !t.movedOn.IsZero() || c.firstAnswersLocked(t, g.Rollout, share) < leastOfRoute*float64(len(s.requests)) {
+	if t.holdingHalf || !t.promotedAt.IsZero() || c.expectedCanaryAnswersLocked(t, g.Rollout, share) < minAnswersPerRoute*float64(len(s.requests)) {
 		return share
 	}
-	return s.share(q, share, func(route string) bool { return t.evidence.failsFew(route) >= fewDoubt })
+	return s.share(q, share, func(route string) bool { return t.evidence.lowRateStatistic(route) >= lowRateDoubt })
 }
 
-// firstAnswersLocked is how many answers a first share comes to, at the rate at which the
-// old version gives them.
-func (c *Controller) firstAnswersLocked(t *track, r *fleet.Rollout, share float64) float64 {
-	passed := progress(c.Clock.Since(t.seen), r.Duration)
-	if passed <= 0 {
+// expectedCanaryAnswersLocked estimates the number of canary answers from the rate at which
+// the old version answers.
+func (c *Controller) expectedCanaryAnswersLocked(t *tracker, r *fleet.Rollout, share float64) float64 {
+	elapsed := progress(c.Clock.Since(t.seen), r.Duration)
+	if elapsed <= 0 {
 		return 0
 	}
-	return share * canaryUntil / passed * float64(t.evidence.older.Samples) / (1 - share)
+	return share * canaryUntil / elapsed * float64(t.evidence.oldTotals.Samples) / (1 - share)
 }
 
-// strataLocked returns the strata of a service.
 func (c *Controller) strataLocked(service string) *strata {
 	s := c.strata[service]
 	if s == nil {
@@ -184,7 +183,7 @@
 // fraction maps a hash to [0, 1).
 func fraction(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
-// aliveBits are the bits of the endpoints of the version that is brought in.
+// aliveBits returns the mask of the ready endpoints of the new version.
 func aliveBits(g *fleet.Group) uint64 {
 	var alive uint64
 	for _, ep := range g.Ready {
@@ -195,7 +194,7 @@
 	return alive
 }
 
-func split(all []fleet.Endpoint, target string) (older, newer []fleet.Endpoint) {
+func splitByVersion(all []fleet.Endpoint, target string) (older, newer []fleet.Endpoint) {
 	for _, ep := range all {
 		if ep.Version == target {
 			newer = append(newer, ep)
@@ -206,29 +205,29 @@
 	return older, newer
 }
 
-// canaries are the few new endpoints that a small share goes to: as many as
-// that share would keep as busy as the old ones are, but not one alone.
-// Those on trial are left out while there are enough others.
-func (c *Controller) canaries(r *fleet.Rollout, newer []fleet.Endpoint, older int, share float64) []fleet.Endpoint {
-	n := firstEndpoints(older, share)
+// canaryEndpoints returns the new endpoints that serve the canary share: as many as it
+// keeps as busy as the old ones, but at least two. Endpoints under trial are left out if
+// there are enough others.
+func (c *Controller) canaryEndpoints(r *fleet.Rollout, newer []fleet.Endpoint, older int, share float64) []fleet.Endpoint {
+	n := canaryCount(older, share)
 	if n >= len(newer) {
 		return newer
 	}
-	sorted := inTrialOrder(newer, r.Ordered)
+	sorted := sortForTrial(newer, r.Ordered)
 	if onTrial := len(trialRoutes); onTrial+n <= len(sorted) && c.Exposure != (Exposure{}) {
 		sorted = sorted[onTrial:]
 	}
 	return sorted[:n]
 }
 
-// Keep notes that a session's request went to an endpoint, if it is one that a
-// roll-out would move first and is not on its version.
+// Keep records a request of a session, if the session is among those that a roll-out moves
+// first and is not on the new version.
 func (c *Controller) Keep(session string, g *fleet.Group, version string) {
-	if session == "" || g.Rollout != nil && !final(g.Rollout.State) && version == g.Rollout.Target {
+	if session == "" || g.Rollout != nil && !isFinal(g.Rollout.State) && version == g.Rollout.Target {
 		return
 	}
 	hash := sessionHash(session)
-	if sessionShare(hash) >= firstShare(len(g.Ready)/2) {
+	if sessionPosition(hash) >= canaryShare(len(g.Ready)/2) {
 		return
 	}
 	c.mu.Lock()
--- a/rollout/control_test.go
+++ b/rollout/controlgroup_test.go
@@ -12,8 +12,7 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// chosen counts the requests that fall to each version's first endpoints, and
-// which endpoints these are.
+// chosen returns the expected number of requests by endpoint.
 func chosen(e *entry, n int) (perEndpoint map[fleet.EndpointID]float64) {
 	perEndpoint = map[fleet.EndpointID]float64{}
 	for i := range n {
@@ -25,18 +24,17 @@
 	return perEndpoint
 }
 
-// Symptom: a version four times as slow looks as quick as the old one.
-// Events: its few requests leave its endpoints nearly empty, while each old one
-// has several times as many.
-// Cause: there were no old endpoints with the same load to compare with.
-func TestTheControlGroupHasTheSameShareAsTheNewVersion(t *testing.T) {
+// Guards against a version four times as slow looking as fast as the old one: its few
+// requests leave its endpoints nearly idle, while each old one has several times as many.
+// The cause was that no old endpoints with the same load were available for comparison.
+func TestControlGroupGetsCanaryShare(t *testing.T) {
 	x := newFixture(t, 2)
-	x.play(time.Second)
+	x.advance(time.Second)
 	const n = 4000
-	got := chosen(x.all[0], n)
-	order := x.all[0].group().Rollout.Ordered
-	older, newer := split(x.all[0].group().Ready, "v2")
-	older = inTrialOrder(older, order)
+	got := chosen(x.entries[0], n)
+	order := x.entries[0].group().Rollout.Ordered
+	older, newer := splitByVersion(x.entries[0].group().Ready, "v2")
+	older = sortForTrial(older, order)
 	size := controlSize(len(older))
 	x.is.Equal(size, 2)
 	control, others, canaries := 0.0, 0.0, 0.0
@@ -52,48 +50,46 @@
 	}
 	x.is.True(math.Abs(control-canaries) < 0.02*n)
 	x.is.True(others/float64(len(older)-size) > 2*control/float64(size))
-	x.is.Equal(chosen(x.all[1], n), got) // alike on all entries
-	// Where the group's endpoints cannot take a request, others do.
+	x.is.Equal(chosen(x.entries[1], n), got) // identical on all entries
+	// Other old endpoints take requests that the group's cannot.
 	for i := range 50 {
-		c := x.all[0].Choose(x.all[0].group(), Request{ID: fmt.Sprint(i)})
+		c := x.entries[0].Choose(x.entries[0].group(), Request{ID: fmt.Sprint(i)})
 		if c.First[0].Version == "v1" {
 			x.is.Equal(len(c.First)+len(c.Then), len(older))
 		}
 	}
 }
 
-// With few old endpoints none are kept apart: the others would be short of room.
-func TestFewOldEndpointsAreAllTheControlGroup(t *testing.T) {
+// With few old endpoints there is no separate control group: the others would lack
+// capacity.
+func TestFewOldEndpointsAllFormControlGroup(t *testing.T) {
 	is := is.New(t)
-	for older := range controlApart {
+	for older := range minForControlGroup {
 		is.Equal(controlSize(older), older)
 	}
-	is.Equal(controlSize(controlApart), 2)
-	r := trialOrder{older: make([]fleet.Endpoint, 3)}
+	is.Equal(controlSize(minForControlGroup), 2)
+	r := endpointOrder{older: make([]fleet.Endpoint, 3)}
 	is.Equal(len(r.choose(true).First), 3)
 	is.Equal(len(r.choose(false).First), 3)
 }
 
-// Once the version has moved on or is halted nothing is compared, and no
-// endpoints are kept for it.
-func TestNoEndpointsAreKeptApartAfterAHalt(t *testing.T) {
+// After promotion or a halt nothing is compared, and there is no control group.
+func TestNoControlGroupAfterHalt(t *testing.T) {
 	x := newFixture(t, 1)
-	x.play(time.Second)
+	x.advance(time.Second)
 	for i := range 40 {
-		x.all[0].answer(6+i%2, true)
+		x.entries[0].answer(6+i%2, true)
 	}
-	older, _ := split(x.all[0].group().Ready, "v2")
+	older, _ := splitByVersion(x.entries[0].group().Ready, "v2")
 	for i := range 50 {
-		x.is.Equal(len(x.all[0].Choose(x.all[0].group(), Request{ID: fmt.Sprint(i)}).First), len(older))
+		x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: fmt.Sprint(i)}).First), len(older))
 	}
 }
 
-// Symptom: a good version of a service with a few requests a second is rolled
-// back.
-// Events: at the end of the time that it has, a dozen answers of either version
-// were seen, whose times vary by a factor of two.
-// Cause: that it was not shown to be as good was taken for being slow.
-func TestFewAnswersHaltNoGoodVersion(t *testing.T) {
+// Guards against a good version rolled back on a service with a few requests a second. At
+// the end of its time, a dozen answers of either version were seen, whose times vary by a
+// factor of two. The cause was that a version not shown to be as good was treated as slow.
+func TestFewAnswersDoNotHaltGoodVersion(t *testing.T) {
 	is := is.New(t)
 	const seeds = 400
 	for _, answers := range []int64{6, 12, 24, 48} {
@@ -112,10 +108,10 @@
 							e.spreads[firstEvents].add(log)
 						}
 					}
-					e.take(Source{Route: route}, counts, time.Time{})
+					e.update(Source{Route: route}, counts, time.Time{})
 				}
 			}
-			if e.tooSlow(slowerBy) {
+			if e.tooSlow(decisionBy) {
 				halted++
 			}
 		}
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -11,22 +11,19 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Times of recording.
 const (
-	// Interval is how often the controller looks whether something is to be
-	// recorded.
+	// Interval is how often the controller checks whether a state is due to be recorded.
 	Interval = 200 * time.Millisecond
-	// turn is how much longer each entry, by its place among the entries,
-	// waits before it records what the one before should have: one call does
-	// instead of one an entry.
-	turn = 300 * time.Millisecond
-	// mostTurns bounds the wait where there are many entries.
-	mostTurns = 6
-	// recordAgain is when a record that nothing was heard of is written again.
-	recordAgain = time.Second
+	// recordStagger is the additional delay per position in the list of entries before an
+	// entry records a state. Usually only the first entry has to call the store.
+	recordStagger = 300 * time.Millisecond
+	// maxStaggerSteps bounds the delay if there are many entries.
+	maxStaggerSteps = 6
+	// recordRetryInterval is when a write without a visible result is repeated.
+	recordRetryInterval = time.Second
 )
 
-// defaultHaltWithin holds where operators name no bound.
+// defaultHaltWithin applies if operators set no bound.
 const defaultHaltWithin = 5 * time.Second
 
 func (d Deps) haltWithin() time.Duration {
@@ -36,80 +33,80 @@
 	return d.HaltWithin
 }
 
-// Deps is what a controller needs.
+// Deps holds the dependencies of a controller.
 type Deps struct {
 	Instance string
 	Boot     int64
 	Store    kv.KV
 	Decoder  fleet.Decoder
 	View     func() *fleet.View
-	// SessionLife is how long after its last request a session keeps its
-	// version.
+	// SessionLife is how long a session keeps its version after its last request.
 	SessionLife time.Duration
-	// Exposure bounds the copies sent to a version on trial; zero: none are.
+	// Exposure bounds the request copies sent for the trial under load; zero: none are
+	// sent.
 	Exposure Exposure
-	// HaltWithin is how long after its proof a bad version may get requests;
-	// 0: defaultHaltWithin.
+	// HaltWithin is how long a bad version may get requests after it is proven bad; 0:
+	// defaultHaltWithin.
 	HaltWithin time.Duration
 	Clock      clockwork.Clock
 	Log        *slog.Logger
 }
 
-// Controller is one entry's part in all roll-outs. It is safe for concurrent
-// use; its lock is never held across a call.
+// Controller handles all roll-outs for one entry. It is safe for concurrent use; its lock
+// is never held across a call to another process.
 type Controller struct {
 	Deps
 
 	mu       sync.Mutex
-	tracks   map[string]*track // by service
-	usual    map[usualKey]*usual
+	trackers map[string]*tracker // by service
+	baseline map[baselineKey]*baseline
 	sessions *sessions
 	strata   map[string]*strata // by service
 }
 
-// track is what the entry knows of one order.
-type track struct {
-	ordered  kv.Revision
-	learned  time.Time // when this entry learned of the order
-	seen     time.Time // when the order was given, as far as known
-	holding  bool      // half of the requests, until enough was seen
-	halted   bool
-	movedOn  time.Time // when it went past the first share
-	doubted  time.Time // when there was last doubt before that
-	lostTill time.Time // until when slowness says nothing: endpoints were lost
-	evidence *evidence
-	answers  int // of the service, since the order
-	inOrder  *trialOrder
-	copies   int                // sent to endpoints on trial
-	wanted   fleet.RolloutState // what should be recorded
-	wantedAt time.Time
-	written  time.Time
+// tracker holds what the entry knows of one order.
+type tracker struct {
+	ordered         kv.Revision
+	learnedAt       time.Time // when this entry learned of the order
+	seen            time.Time // when the order was given, as far as known here
+	holdingHalf     bool      // half of the requests until enough answers are seen
+	halted          bool
+	promotedAt      time.Time // when the share was raised above the canary share
+	lastDoubtAt     time.Time // when the evidence was last in doubt before that
+	ignoreSlowUntil time.Time // slow answers are not counted until then: endpoints were lost
+	evidence        *evidence
+	answers         int // of the service since the order
+	endpoints       *endpointOrder
+	copies          int                // sent to endpoints under trial
+	dueState        fleet.RolloutState // state to record
+	dueSince        time.Time
+	writtenAt       time.Time
 }
 
-// usualKey is what the usual time is known by: the model, as what is expected
-// of each prompt is taken off, or for plain requests the route. By both, an
-// entry with few requests would know nothing usual for long.
-type usualKey struct {
+// baselineKey identifies a latency baseline: the model, as each prompt's expected time is
+// accounted for separately, or the route for plain services. Keyed by both, an entry with
+// few requests would have no baseline for a long time.
+type baselineKey struct {
 	name string
 	pace bool
 }
 
 // New returns a controller.
 func New(d Deps) *Controller {
-	return &Controller{Deps: d, tracks: map[string]*track{}, usual: map[usualKey]*usual{}, sessions: newSessions(d.SessionLife), strata: map[string]*strata{}}
+	return &Controller{Deps: d, trackers: map[string]*tracker{}, baseline: map[baselineKey]*baseline{}, sessions: newSessions(d.SessionLife), strata: map[string]*strata{}}
 }
 
-// trackLocked returns the track of a group's order, a new one for a new order.
-func (c *Controller) trackLocked(r *fleet.Rollout) *track {
-	t := c.tracks[r.Service]
+// trackerLocked returns the tracker of a group's order and creates one for a new order.
+func (c *Controller) trackerLocked(r *fleet.Rollout) *tracker {
+	t := c.trackers[r.Service]
 	if t == nil || t.ordered < r.Ordered {
-		t = &track{ordered: r.Ordered, learned: c.Clock.Now(), seen: c.Clock.Now(), evidence: newEvidence()}
-		c.tracks[r.Service] = t
+		t = &tracker{ordered: r.Ordered, learnedAt: c.Clock.Now(), seen: c.Clock.Now(), evidence: newEvidence()}
+		c.trackers[r.Service] = t
 	}
 	return t
 }
 
-// State is a roll-out's row in the state dump.
+// State is one roll-out in the state dump.
 type State struct {
 	Service string `json:"service"`
 	Order   int64  `json:"order"`
@@ -118,17 +115,17 @@
 	Samples int64  `json:"samples"`
 	Failed  int64  `json:"failed"`
 	Slow    int64  `json:"slow"`
-	// Withdrawn are the versions that get no requests.
+	// Withdrawn lists the versions that get no requests.
 	Withdrawn []string `json:"withdrawn,omitempty"`
 }
 
-// State returns the current dump.
+// State returns the roll-outs for the state dump.
 func (c *Controller) State() []State {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]State, 0, len(c.tracks))
-	for s, t := range c.tracks {
+	out := make([]State, 0, len(c.trackers))
+	for s, t := range c.trackers {
 		sum := t.evidence.totals()
 		row := State{Service: s, Order: int64(t.ordered), AgeMS: c.Clock.Since(t.seen).Milliseconds(), Halted: t.halted,
 			Samples: sum.Samples, Failed: sum.Failed, Slow: sum.Slow}
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,13 +1,13 @@
-// Package rollout moves a service's traffic to a new version and back when
-// the version is bad. There is no leader: the order, and what is recorded of
-// it, lie in the platform's store; each entry acts by how old the order is
-// and by the evidence of all entries, and records a state only under the
-// condition that nothing else was recorded meanwhile. An entry that is
-// killed, frozen or cut off at any step leaves nothing half done.
+// Package rollout moves a service's traffic to a new version, and back if the version is
+// bad. There is no leader: the order and its recorded state are kept in the platform's
+// store. Each entry acts on the age of the order and the evidence of all entries, and
+// records a state with a conditional write that fails if another state was recorded
+// meanwhile. An entry that is killed, frozen or partitioned at any step therefore leaves no
+// partial state.
 //
-// A good version goes through: a small share of requests, drawn from all routes, on a
-// few of the new endpoints, so that these see as much load as all would; half for a
-// moment; all requests; done.
-// A bad one is halted on the entry that knows first, on the others as they
-// hear of it, and recorded as rolled back.
+// A good version passes through these stages: a canary share of requests, drawn from all
+// routes and sent to a few of the new endpoints, so that their load equals that of
+// endpoints under full traffic; half of the requests for a short time; all requests; done.
+// A bad version is halted first on the entry that detects it, then on the others as they
+// are notified, and is recorded as rolled back.
 package rollout
--- a/rollout/tell.go
+++ b/rollout/exchange.go
@@ -7,58 +7,59 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Rollout's state as entries tell each other.
+// Roll-out state exchanged between entries.
 type (
-	// Told is one order as an entry knows it.
+	// Told is the state of one order on an entry.
 	Told struct {
 		Service string
 		Ordered kv.Revision
 		Age     time.Duration
 		Halted  bool
-		// Moved is how long ago the entry went past the first share, if HasMoved.
+		// Moved is the time since the entry raised the share above the canary share, if
+		// HasMoved.
 		Moved    time.Duration
 		HasMoved bool
 	}
-	// Row is one source's counts.
+	// Row holds the counts of one source.
 	Row struct {
 		Source
 		Counts
 	}
 )
 
-// Tell returns what other entries should know.
+// Tell returns the orders, counts and sessions to send to other entries.
 func (c *Controller) Tell() ([]Told, []Row, []Session) {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var told []Told
 	var rows []Row
-	for service, t := range c.tracks {
+	for service, t := range c.trackers {
 		g := v.Group(service)
 		if g == nil || g.Rollout == nil || g.Rollout.Ordered != t.ordered || g.Rollout.State == fleet.RolloutDone {
 			continue
 		}
 		if g.Rollout.State == fleet.RolloutRolledBack {
-			// An entry whose copy of the store is behind takes the order to be under way, and
-			// this one may never have halted the version itself.
+			// An entry with a stale copy of the store treats the order as running, and this
+			// one may never have halted the version itself.
 			told = append(told, Told{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
 			continue
 		}
 		told = append(told, Told{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
-			HasMoved: !t.movedOn.IsZero(), Moved: c.Clock.Since(t.movedOn)})
+			HasMoved: !t.promotedAt.IsZero(), Moved: c.Clock.Since(t.promotedAt)})
 		for s, n := range t.evidence.rows {
 			rows = append(rows, Row{s, n})
 		}
 	}
-	return told, rows, c.sessions.tell(c.Clock.Now())
+	return told, rows, c.sessions.snapshot(c.Clock.Now())
 }
 
-// Hear takes what another entry told.
-func (c *Controller) Hear(told []Told, rows []Row, under []Session) {
+// Hear merges the state received from another entry.
+func (c *Controller) Hear(told []Told, rows []Row, active []Session) {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, u := range under {
+	for _, u := range active {
 		c.sessions.note(u.Hash, c.Clock.Now().Add(-u.Ago))
 	}
 	for _, o := range told {
@@ -69,8 +70,8 @@
 		if seen := c.Clock.Now().Add(-o.Age); seen.Before(t.seen) {
 			t.seen = seen
 		}
-		if o.HasMoved && t.movedOn.IsZero() && t.late(v.Group(o.Service).Rollout.Duration) {
-			t.movedOn = c.Clock.Now().Add(-o.Moved)
+		if o.HasMoved && t.promotedAt.IsZero() && t.late(v.Group(o.Service).Rollout.Duration) {
+			t.promotedAt = c.Clock.Now().Add(-o.Moved)
 		}
 		if o.Halted && !t.halted {
 			t.halted = true
@@ -81,21 +82,21 @@
 		if row.Instance == c.Instance && row.Boot == c.Boot {
 			continue
 		}
-		if t := c.knownLocked(v, row.Service, row.Ordered); t != nil && t.evidence.take(row.Source, row.Counts, c.Clock.Now()) {
+		if t := c.knownLocked(v, row.Service, row.Ordered); t != nil && t.evidence.update(row.Source, row.Counts, c.Clock.Now()) {
 			c.judgeLocked(v.Group(row.Service), t)
 		}
 	}
 }
 
-// knownLocked returns the track of an order that the view knows too.
-func (c *Controller) knownLocked(v *fleet.View, service string, ordered kv.Revision) *track {
+// knownLocked returns the tracker of an order, or nil if the view does not have that order.
+func (c *Controller) knownLocked(v *fleet.View, service string, ordered kv.Revision) *tracker {
 	g := v.Group(service)
 	if g == nil || g.Rollout == nil || g.Rollout.Ordered != ordered {
 		return nil
 	}
-	return c.trackLocked(g.Rollout)
+	return c.trackerLocked(g.Rollout)
 }
 
-func final(s fleet.RolloutState) bool {
+func isFinal(s fleet.RolloutState) bool {
 	return s == fleet.RolloutDone || s == fleet.RolloutRolledBack
 }
--- a/rollout/observe.go
+++ b/rollout/observe.go
@@ -6,44 +6,44 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// Answer is how an endpoint answered, as the controller counts it.
+// Answer describes an endpoint's answer to a request.
 type Answer struct {
 	Group    *fleet.Group
 	Endpoint fleet.Endpoint
 	Route    string
 	Model    string
-	Failed   bool // the endpoint answered that it failed
+	Failed   bool // the endpoint answered with a failure
 	// Took is the time to the first event; 0: there was none.
 	Took time.Duration
-	// Expected is the time to the first event that its prompt should take, 0:
-	// it has none; Wait how long it had to wait for others, as far as known.
+	// Expected is the expected time to the first event for the prompt, 0 without one. Wait
+	// is the known time spent queued behind other requests.
 	Expected time.Duration
 	Wait     time.Duration
-	// Pace: Took is the mean pause between the events of a stream instead. It
-	// varies less than first events do, and shows a slow version sooner.
+	// If Pace is set, Took is the mean pause between the events of a stream. It varies less
+	// than the time to the first event and reveals a slow version sooner.
 	Pace bool
-	// ShortPause is the second shortest of these pauses, 0: not known.
+	// ShortPause is the second shortest of these pauses; 0: unknown.
 	ShortPause time.Duration
 }
 
-// afterLoss is how long after an endpoint was lost the others, which take over
-// its requests, may be slow through no fault of the version.
-const afterLoss = 4 * time.Second
+// lossGracePeriod is how long the remaining endpoints, which take over a lost endpoint's
+// requests, may be slow without the version being at fault.
+const lossGracePeriod = 4 * time.Second
 
-// Lost notes that an endpoint of a group accepts no connections. It counts if it
-// is of the version that is brought in.
+// Lost records that an endpoint accepts no connections. It is ignored for endpoints of
+// other versions than the new one.
 func (c *Controller) Lost(g *fleet.Group, ep fleet.Endpoint) {
 	if g.Rollout == nil || ep.Version != g.Rollout.Target {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.trackLocked(g.Rollout).lostTill = c.Clock.Now().Add(afterLoss)
+	c.trackerLocked(g.Rollout).ignoreSlowUntil = c.Clock.Now().Add(lossGracePeriod)
 }
 
-// evidenceRoute is what the answer is counted under. The pace of streams is
-// evidence of its own, over all routes: a version may be slow in that only, and
-// among first events that are in time it would not show.
+// evidenceRoute returns the route that the answer is counted under. The pace of streams is
+// counted separately, over all routes: a version may be slow in pace only, which would not
+// show among first events that are in time.
 func (a Answer) evidenceRoute() string {
 	if a.Pace {
 		return "(pace)"
@@ -51,32 +51,31 @@
 	return a.Route
 }
 
-// plain reports whether a plain service gave the answer: how long one takes goes by no
-// prompt.
+// plain reports whether a plain service gave the answer: its expected time does not depend
+// on a prompt.
 func (a Answer) plain() bool { return a.Model == "" && a.Expected == 0 && !a.Pace }
 
-// net is the time without what it waited for others. What is known of that
-// grows with each request that a slow version keeps waiting, so that half of
-// the time counts in any case.
+// net returns the time without the queueing time. The known queueing time grows with each
+// request that a slow version delays, so at least half of the time always counts.
 func (a Answer) net() time.Duration { return a.Took - min(a.Wait, a.Took/2) }
 
-// Observe counts an answer: as evidence where its version is being brought
-// in, as the usual time elsewhere. It reports whether it counted as usual.
+// Observe counts an answer as evidence if its version is being rolled out, and towards the
+// latency baseline otherwise. It reports whether the answer counted towards the baseline.
 func (c *Controller) Observe(a Answer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := usualKey{a.Model, a.Pace}
+	key := baselineKey{a.Model, a.Pace}
 	if a.Model == "" {
 		key.name = a.Route
 	}
-	u := c.usual[key]
+	u := c.baseline[key]
 	if u == nil {
-		u = &usual{}
-		c.usual[key] = u
+		u = &baseline{}
+		c.baseline[key] = u
 	}
 	r := a.Group.Rollout
 	if r == nil || a.Endpoint.Version != r.Target || r.State == fleet.RolloutDone {
-		if r != nil && !final(r.State) {
+		if r != nil && !isFinal(r.State) {
 			c.observeOldLocked(u, a)
 		}
 		if a.Took > 0 && !a.Failed {
@@ -84,7 +83,7 @@
 		}
 		return true
 	}
-	t := c.trackLocked(r)
+	t := c.trackerLocked(r)
 	if t.ordered != r.Ordered {
 		return false
 	}
@@ -100,22 +99,22 @@
 	case a.Failed:
 		counts.Failed++
 		counts.Bad |= endpointBit(a.Endpoint.ID)
-	case c.Clock.Now().Before(t.lostTill):
-		return false // slow or not, it says little now
+	case c.Clock.Now().Before(t.ignoreSlowUntil):
+		return false // latency is not meaningful shortly after a loss
 	case a.Pace && !u.known():
-		return false // it would count as well, whatever it is
-	case u.slow(a, !t.movedOn.IsZero()):
+		return false // without a baseline it would count as good in any case
+	case u.slow(a, !t.promotedAt.IsZero()):
 		counts.Slow++
 		counts.Bad |= endpointBit(a.Endpoint.ID)
 	}
-	t.evidence.take(src, counts, c.Clock.Now())
+	t.evidence.update(src, counts, c.Clock.Now())
 	c.judgeLocked(a.Group, t)
 	return false
 }
 
-// observeOldLocked counts an answer of the version that is to be replaced.
-func (c *Controller) observeOldLocked(u *usual, a Answer) {
-	t := c.trackLocked(a.Group.Rollout)
+// observeOldLocked counts an answer of the old version.
+func (c *Controller) observeOldLocked(u *baseline, a Answer) {
+	t := c.trackerLocked(a.Group.Rollout)
 	if t.ordered != a.Group.Rollout.Ordered {
 		return
 	}
@@ -126,9 +125,9 @@
 	c.compareLocked(t, u, a)
 }
 
-// countOldLocked counts whether an answer of the old version failed or was slow, as what
-// the new one's are judged against.
-func (c *Controller) countOldLocked(t *track, u *usual, a Answer) {
+// countOldLocked counts whether an answer of the old version failed or was slow, as the
+// reference for the new version.
+func (c *Controller) countOldLocked(t *tracker, u *baseline, a Answer) {
 	src := Source{Instance: c.Instance, Boot: c.Boot, Service: a.Group.Rollout.Service, Ordered: a.Group.Rollout.Ordered, Route: a.oldRoute()}
 	counts := t.evidence.rows[src]
 	counts.Samples++
@@ -138,10 +137,10 @@
 	case u.slow(a, false):
 		counts.Slow++
 	}
-	t.evidence.take(src, counts, c.Clock.Now())
+	t.evidence.update(src, counts, c.Clock.Now())
 }
 
-func (c *Controller) judgeLocked(g *fleet.Group, t *track) {
+func (c *Controller) judgeLocked(g *fleet.Group, t *tracker) {
 	service := g.Rollout.Service
 	if t.halted {
 		return
@@ -149,27 +148,27 @@
 	route, bad := t.evidence.bad(aliveBits(g), c.Clock.Now())
 	slower, _ := t.evidence.slower()
 	if !bad {
-		route, bad = c.slowBesideOldLocked(g, t)
+		route, bad = c.slowAgainstOldLocked(g, t)
 	}
 	if !bad {
 		return
 	}
 	t.halted = true
-	sum, on, beside := t.evidence.totals(), t.evidence.at(route), t.evidence.besideOn(route)
+	sum, onRoute, paired := t.evidence.totals(), t.evidence.routeFor(route), t.evidence.pairedOn(route)
 	c.Log.Warn("rollout: version answers badly; halting it.", "service", service, "order", t.ordered, "route", route,
-		"samples", sum.Samples, "failed", sum.Failed, "slow", sum.Slow, "failed_statistic", on.failed, "few_statistic", t.evidence.failsFew(route), "slow_statistic", on.slow, "slower_by", slower.by,
-		"route_samples", beside.version.Samples, "route_failed", beside.version.Failed, "route_slow", beside.version.Slow,
-		"old_samples", beside.old.Samples, "old_failed", beside.old.Failed, "old_slow", beside.old.Slow,
+		"samples", sum.Samples, "failed", sum.Failed, "slow", sum.Slow, "failed_statistic", onRoute.failed, "few_statistic", t.evidence.lowRateStatistic(route), "slow_statistic", onRoute.slow, "slower_by", slower.deviations,
+		"route_samples", paired.version.Samples, "route_failed", paired.version.Failed, "route_slow", paired.version.Slow,
+		"old_samples", paired.old.Samples, "old_failed", paired.old.Failed, "old_slow", paired.old.Slow,
 		"age_ms", c.Clock.Since(t.seen).Milliseconds())
 }
 
-// slowBesideOldLocked reports whether the version is slow beside the old one, and on which
+// slowAgainstOldLocked reports whether the version is slower than the old one, and on which
 // route.
-func (c *Controller) slowBesideOldLocked(g *fleet.Group, t *track) (route string, slow bool) {
-	if !t.movedOn.IsZero() {
-		return "", false // nothing is left to compare with
+func (c *Controller) slowAgainstOldLocked(g *fleet.Group, t *tracker) (route string, slow bool) {
+	if !t.promotedAt.IsZero() {
+		return "", false // no old endpoints get requests to compare with
 	}
-	if t.evidence.tooSlow(c.decisionTimeLocked(t, g.Rollout)) {
+	if t.evidence.tooSlow(c.decisionProgressLocked(t, g.Rollout)) {
 		return "(compared)", true
 	}
 	return t.evidence.slowOnPlain(aliveBits(g))
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// The course of a roll-out, in shares of the time that the order gives.
+// Schedule of a roll-out, as fractions of the order's duration.
 const (
-	// canaryUntil is past the middle: sessions must not move to the new
-	// version in the first half.
+	// canaryUntil is after the midpoint: sessions must not move to the new version in the
+	// first half.
 	canaryUntil = 0.53
-	// halfFor: for a short while half of the requests, so that a version that
-	// fails under load shows it before it has all.
-	halfFor   = 0.05
-	halfShare = 0.5
-	// allBy is when all requests move at the latest, unless there is doubt: a
-	// version of which little has been seen has no more time for it.
-	allBy = 0.72
-	// doneAt is late enough for the streams on old endpoints to end, as these
-	// stop at once when the roll-out is done.
+	// Half of the requests are sent for halfShareFor first, so that a version that fails
+	// under load shows it before it gets all requests.
+	halfShareFor = 0.05
+	halfShare    = 0.5
+	// fullShareBy is the latest time for moving all requests, unless the evidence is in
+	// doubt. A version with few answers cannot wait any longer.
+	fullShareBy = 0.72
+	// doneAt leaves time for streams on old endpoints to end, as these endpoints stop as
+	// soon as the roll-out is done.
 	doneAt = 0.88
-	// settleFor is how long all requests must have been on the new version
-	// before that, where doubt had held them back.
+	// settleFor is how long all requests must have been on the new version before the
+	// roll-out is done, if doubt delayed them.
 	settleFor = 0.1
-	// lateFrom is how far the order must be under way when an entry learns of
-	// it for the entry to be late: others learn of it in seconds.
+	// lateFrom is the progress of the order from which an entry that learns of it counts as
+	// late. Others learn of it within seconds.
 	lateFrom = 0.25
-	// lateAllBy is when a late entry moves all requests at the latest, however
-	// little it saw: with settleFor it can still be done in time.
-	lateAllBy = 0.87
+	// lateFullShareBy is the latest time for a late entry to move all requests, however few
+	// answers it has seen. With settleFor the order can still be done in time.
+	lateFullShareBy = 0.87
 )
 
-// The share of requests that goes to the new version first, by the number of
-// old endpoints. What a bad version may get of all requests is bounded by the
-// operators (0.0975 is the least seen), and one that is found at this stage
-// stays under that. Large services need a smaller share for as many answers a
-// second, and their sessions are told among entries. Steps, so that an
-// endpoint more or less does not move sessions to and fro.
+// Canary share by the number of old endpoints. Operators bound what a bad version may get
+// of all requests (0.0975 is the lowest bound seen), and a version detected at this stage
+// stays below that. Large services need a smaller share for the same answer rate, and their
+// sessions are exchanged among entries. The share changes in steps, so that adding or
+// removing an endpoint does not move sessions back and forth.
 const (
 	smallService  = 16
 	mediumService = 64
@@ -43,8 +42,9 @@
 	largeShare  = 0.02
 )
 
-// firstShare is the share to begin with.
-func firstShare(older int) float64 {
+// canaryShare returns the share of requests in the canary stage, given the number of old
+// endpoints.
+func canaryShare(older int) float64 {
 	switch {
 	case older <= smallService:
 		return smallShare
@@ -55,38 +55,38 @@
 	}
 }
 
-// enoughSeen answers at the first share are enough to move on: a slow version
-// shows in fewer, a failing one in a dozen or two.
-const enoughSeen = 90
+// minCanaryAnswers are enough canary answers for promotion: a slow version is detected with
+// fewer, a failing one with a dozen or two.
+const minCanaryAnswers = 90
 
-// MayMoveOn reports whether more than the first share may go to the new
-// version when so much of the order's time has passed and so many answers were
-// seen.
-func MayMoveOn(passed, whole time.Duration, seen int64, doubt bool) bool {
-	p := progress(passed, whole)
-	return p >= canaryUntil && !doubt && (p >= allBy || seen >= enoughSeen)
+// MayPromote reports whether the new version may get more than the canary share, given the
+// elapsed time of the order, the answers seen and whether the evidence is in doubt.
+func MayPromote(elapsed, total time.Duration, seen int64, doubt bool) bool {
+	p := progress(elapsed, total)
+	return p >= canaryUntil && !doubt && (p >= fullShareBy || seen >= minCanaryAnswers)
 }
 
-// MayMoveOnLate is MayMoveOn for an entry that learned of the order late.
-func MayMoveOnLate(passed, whole time.Duration, seen int64, doubt bool) bool {
-	p := progress(passed, whole)
-	return p >= canaryUntil && !doubt && (p >= lateAllBy || seen >= enoughSeen)
+// MayPromoteLate is MayPromote for an entry that learned of the order late.
+func MayPromoteLate(elapsed, total time.Duration, seen int64, doubt bool) bool {
+	p := progress(elapsed, total)
+	return p >= canaryUntil && !doubt && (p >= lateFullShareBy || seen >= minCanaryAnswers)
 }
 
-// ShareAfter is the share so long after moving on.
-func ShareAfter(since, whole time.Duration) float64 {
-	if progress(since, whole) < halfFor {
+// ShareAfterPromotion returns the share of requests at a time after promotion, that is,
+// after the share was raised above the canary share.
+func ShareAfterPromotion(since, total time.Duration) float64 {
+	if progress(since, total) < halfShareFor {
 		return halfShare
 	}
 	return 1
 }
 
-// Due reports whether a good version may be recorded as done.
-func Due(passed, whole time.Duration) bool { return progress(passed, whole) >= doneAt }
+// CompletionDue reports whether a good version may be recorded as done.
+func CompletionDue(elapsed, total time.Duration) bool { return progress(elapsed, total) >= doneAt }
 
-func progress(passed, whole time.Duration) float64 {
-	if whole <= 0 {
+func progress(elapsed, total time.Duration) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return float64(passed) / float64(whole)
+	return float64(elapsed) / float64(total)
 }
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -8,55 +8,55 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// Tick records states that are due. It is called every Interval.
+// Tick records the states that are due. It is called every Interval.
 func (c *Controller) Tick(ctx context.Context) {
 	v := c.View()
 	for _, g := range v.Groups() {
-		if g.Rollout == nil || final(g.Rollout.State) {
+		if g.Rollout == nil || isFinal(g.Rollout.State) {
 			continue
 		}
-		if state, ok := c.due(v, g); ok && c.recordWithdrawn(ctx, g.Withdrawn) {
+		if state, ok := c.nextState(v, g); ok && c.recordWithdrawn(ctx, g.Withdrawn) {
 			c.record(ctx, g.Rollout, state)
 		}
 	}
 }
 
-// due returns the state to record now, if it is this entry's turn.
-func (c *Controller) due(v *fleet.View, g *fleet.Group) (fleet.RolloutState, bool) {
+// nextState returns the state to record now, if this entry's delay has passed.
+func (c *Controller) nextState(v *fleet.View, g *fleet.Group) (fleet.RolloutState, bool) {
 	r := g.Rollout
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.trackLocked(r)
+	t := c.trackerLocked(r)
 	c.giveUpTrialLocked(r, t)
 	now := c.Clock.Now()
 	want := fleet.RolloutRunning
 	switch {
 	case t.halted:
 		want = fleet.RolloutRolledBack
-	case Due(now.Sub(t.seen), r.Duration) && hasVersion(g.Ready, r.Target) && c.settledLocked(t, g):
+	case CompletionDue(now.Sub(t.seen), r.Duration) && hasVersion(g.Ready, r.Target) && c.settledLocked(t, g):
 		want = fleet.RolloutDone
 	}
 	if want == r.State {
 		return "", false
 	}
-	if want != t.wanted {
-		t.wanted, t.wantedAt, t.written = want, now, time.Time{}
+	if want != t.dueState {
+		t.dueState, t.dueSince, t.writtenAt = want, now, time.Time{}
 	}
-	if now.Sub(t.wantedAt) < c.turnOf(v) || now.Sub(t.written) < recordAgain {
+	if now.Sub(t.dueSince) < c.recordDelay(v) || now.Sub(t.writtenAt) < recordRetryInterval {
 		return "", false
 	}
-	t.written = now
+	t.writtenAt = now
 	return want, true
 }
 
-// settledLocked reports whether all requests have been on the new version for a
-// while, without doubt: when it is done, the old endpoints stop at once, with
-// whatever they are still at.
-func (c *Controller) settledLocked(t *track, g *fleet.Group) bool {
+// settledLocked reports whether all requests have been on the new version for settleFor
+// without doubt. When the roll-out is done, the old endpoints stop at once and cut off
+// their running requests.
+func (c *Controller) settledLocked(t *tracker, g *fleet.Group) bool {
 	r := g.Rollout
-	older, _ := split(g.Ready, r.Target)
-	c.shareLocked(t, r, len(older)) // an entry without requests moves on here
-	return !t.movedOn.IsZero() && progress(c.Clock.Since(t.movedOn), r.Duration) >= settleFor && !t.evidence.doubt(c.decisionTimeLocked(t, r))
+	older, _ := splitByVersion(g.Ready, r.Target)
+	c.shareLocked(t, r, len(older)) // promotes on an entry without requests
+	return !t.promotedAt.IsZero() && progress(c.Clock.Since(t.promotedAt), r.Duration) >= settleFor && !t.evidence.inDoubt(c.decisionProgressLocked(t, r))
 }
 
 func hasVersion(all []fleet.Endpoint, version string) bool {
@@ -68,20 +68,21 @@
 	return false
 }
 
-// turnOf is how long this entry leaves it to those before it.
-func (c *Controller) turnOf(v *fleet.View) time.Duration {
+// recordDelay returns how long this entry waits for the entries before it in the list to
+// record.
+func (c *Controller) recordDelay(v *fleet.View) time.Duration {
 	for i, e := range v.Entries {
 		if e.Instance == c.Instance {
-			return time.Duration(min(i, mostTurns)) * turn
+			return time.Duration(min(i, maxStaggerSteps)) * recordStagger
 		}
 	}
-	return mostTurns * turn
+	return maxStaggerSteps * recordStagger
 }
 
-// recordWithdrawn records the withdrawn versions of a service, if what is recorded of
-// them is not the same, and reports whether it is now. It goes before the record of a
-// state: that overwrites the one of the order before, which may be all that tells that
-// its version was rolled back.
+// recordWithdrawn records the withdrawn versions of a service if the recorded ones differ,
+// and reports whether the record is current. It must precede the record of a new state:
+// that overwrites the state of the previous order, which may be the only evidence that its
+// version was rolled back.
 func (c *Controller) recordWithdrawn(ctx context.Context, w fleet.Withdrawn) bool {
 	if !w.Changed() {
 		return true
@@ -103,9 +104,9 @@
 	return err == nil && ok
 }
 
-// record writes a state, if what was recorded last still stands. Whatever
-// comes of it, the watch tells; a write whose answer was lost and that takes
-// effect later still meets its condition.
+// record writes a state on condition that the last recorded one is unchanged. The outcome
+// is learned from the watch; the condition also protects a write that takes effect late
+// after its answer was lost.
 func (c *Controller) record(ctx context.Context, r *fleet.Rollout, state fleet.RolloutState) {
 	key, value, err := c.Decoder.EncodeRolloutStatus(r.Service, fleet.RolloutStatus{Target: r.Target, State: state})
 	if err != nil {
@@ -117,7 +118,7 @@
 	case err != nil:
 		c.Log.Warn("rollout: state not confirmed by the store; will write it again.", "service", r.Service, "state", state, "condition", r.Recorded, "error", err)
 	case !ok:
-		c.Log.Info("rollout: something else was recorded meanwhile.", "service", r.Service, "state", state, "condition", r.Recorded)
+		c.Log.Info("rollout: state not recorded; the record was changed meanwhile.", "service", r.Service, "state", state, "condition", r.Recorded)
 	default:
 		c.Log.Info("rollout: state recorded.", "service", r.Service, "state", state, "target", r.Target, "revision", rev)
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -24,44 +24,44 @@
 
 const duration = 24 * time.Second
 
-// fixture is a store with an order for service s, six old and six new
-// endpoints, and entries that follow it when told to.
+// fixture is a store with an order for service s, six old and six new endpoints, and
+// entries that read the store on sync.
 type fixture struct {
-	t     *testing.T
-	is    *is.I
-	clock *clockwork.FakeClock
-	store *memkv.Store
-	all   []*entry
+	t       *testing.T
+	is      *is.I
+	clock   *clockwork.FakeClock
+	store   *memkv.Store
+	entries []*entry
 }
 
 type entry struct {
 	*Controller
 	fleet *fleet.Follower
-	store *lossy
+	store *lossyStore
 }
 
-// lossy is a store whose answers to writes can be lost.
-type lossy struct {
+// lossyStore is a store that can lose the answers to writes or be unavailable.
+type lossyStore struct {
 	kv.Client
-	lose, away bool
-	wrote      []string // keys, in the order of the writes that were tried
+	loseAnswers, unavailable bool
+	writtenKeys              []string // keys, in the order of the writes that were tried
 }
 
 var errLost = errors.New("answer lost")
 
-func (l *lossy) CompareAndPut(ctx context.Context, key string, expect kv.Revision, value []byte, lease kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
-	l.wrote = append(l.wrote, key)
-	if l.away {
+func (l *lossyStore) CompareAndPut(ctx context.Context, key string, expect kv.Revision, value []byte, lease kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
+	l.writtenKeys = append(l.writtenKeys, key)
+	if l.unavailable {
 		return false, 0, nil, kv.ErrUnavailable
 	}
 	ok, rev, cur, err := l.Client.CompareAndPut(ctx, key, expect, value, lease)
-	if l.lose {
+	if l.loseAnswers {
 		return false, 0, nil, errLost
 	}
 	return ok, rev, cur, err
 }
 
-func newFixture(t *testing.T, entries int) *fixture {
+func newFixture(t *testing.T, count int) *fixture {
 	x := &fixture{t: t, is: is.New(t), clock: clockwork.NewFakeClock()}
 	x.store = memkv.New(x.clock)
 	for i := range 12 {
@@ -71,22 +71,22 @@
 		}
 		x.endpoint(i, version, 0)
 	}
-	for i := range entries {
+	for i := range count {
 		name := fmt.Sprintf("i%d", i)
 		x.put(fleet.EntryPrefix+name, []byte(`{"instance":"`+name+`","domain":"d"}`))
 	}
 	x.order()
-	for i := range entries {
-		x.all = append(x.all, x.newEntry(i))
+	for i := range count {
+		x.entries = append(x.entries, x.newEntry(i))
 	}
 	x.sync()
 	return x
 }
 
-// newEntry returns an entry that has just started and knows nothing yet.
+// newEntry returns an entry that has just started, with no state.
 func (x *fixture) newEntry(i int) *entry {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e := &entry{store: &lossy{Client: x.store}}
+	e := &entry{store: &lossyStore{Client: x.store}}
 	e.fleet = fleet.NewFollower(fleet.Entry{}, x.store, platform.Values{}, time.Second, x.clock, log)
 	e.Controller = New(Deps{Instance: fmt.Sprintf("i%d", i), Boot: 1, Store: e.store, Decoder: platform.Values{}, View: e.fleet.View,
 		SessionLife: 5 * time.Second, Exposure: Exposure{Share: 0.15, Slack: 30}, Clock: x.clock, Log: log})
@@ -99,7 +99,7 @@
 	x.is.NoErr(err)
 }
 
-// endpoint registers an endpoint; 0 slots: as many as the stand-in has.
+// endpoint registers an endpoint; 0 slots: the stand-in's default.
 func (x *fixture) endpoint(i int, version string, slots int) {
 	e := platformtest.NewEngine(platformtest.EngineConfig{ID: fmt.Sprintf("e%02d", i), Service: "s", Address: fmt.Sprintf("127.0.0.1:%d", 1000+i), Domain: "d", Version: version, Slots: slots})
 	x.put(e.Registration(false))
@@ -111,10 +111,10 @@
 	x.put("op/rollout/s", []byte(`{"service":"s","target":"`+version+`","duration_s":24}`))
 }
 
-// sync makes the given entries, or all, know what the store holds.
+// sync updates the given entries, or all, to the state of the store.
 func (x *fixture) sync(which ...*entry) {
 	if len(which) == 0 {
-		which = x.all
+		which = x.entries
 	}
 	rev, items, err := x.store.Get(context.Background(), "", true)
 	x.is.NoErr(err)
@@ -124,22 +124,22 @@
 	}
 	for _, e := range which {
 		e.fleet.Merge("test", c, 0)
-		e.Choose(e.group(), Request{ID: "first"}) // the order is noticed
+		e.Choose(e.group(), Request{ID: "first"}) // creates the tracker of the order
 	}
 }
 
 func (e *entry) group() *fleet.Group { return e.fleet.View().Group("s") }
 
 func (x *fixture) state() fleet.RolloutState {
-	x.sync(x.all[0])
-	return x.all[0].group().Rollout.State
+	x.sync(x.entries[0])
+	return x.entries[0].group().Rollout.State
 }
 
-// play moves the time on, with ticks of all entries and what they record.
-func (x *fixture) play(d time.Duration, without ...*entry) {
+// advance moves the clock, with ticks of all entries and syncs of what they record.
+func (x *fixture) advance(d time.Duration, without ...*entry) {
 	for range d / Interval {
 		x.clock.Advance(Interval)
-		for _, e := range x.all {
+		for _, e := range x.entries {
 			if len(without) > 0 && e == without[0] {
 				continue
 			}
@@ -149,7 +149,7 @@
 	}
 }
 
-// share is the share of requests that an entry sends to the new version.
+// share returns the share of requests that an entry sends to the new version.
 func share(e *entry) float64 {
 	const n = 4000
 	toNew := 0
@@ -166,86 +166,85 @@
 		Route: "r", Failed: failed, Took: 50 * time.Millisecond})
 }
 
-func TestAGoodVersionIsDoneInTime(t *testing.T) {
+func TestGoodVersionCompletesInTime(t *testing.T) {
 	x := newFixture(t, 3)
-	x.play(time.Second)
+	x.advance(time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRunning)
-	x.is.True(share(x.all[0]) < 0.0975) // within the operators' bound
-	x.is.True(share(x.all[0]) > 0.03)
-	x.play(duration/2 - 2*time.Second)
-	x.is.True(share(x.all[1]) < 0.0975) // nothing moves in the first half
-	for i := range enoughSeen {
-		x.all[2].answer(6+i%2, false)
-	}
-	x.play(3 * time.Second)
-	x.is.Equal(share(x.all[2]), 1.0)
+	x.is.True(share(x.entries[0]) < 0.0975) // below the lowest operators' bound
+	x.is.True(share(x.entries[0]) > 0.03)
+	x.advance(duration/2 - 2*time.Second)
+	x.is.True(share(x.entries[1]) < 0.0975) // no promotion in the first half
+	for i := range minCanaryAnswers {
+		x.entries[2].answer(6+i%2, false)
+	}
+	x.advance(3 * time.Second)
+	x.is.Equal(share(x.entries[2]), 1.0)
 	x.is.Equal(x.state(), fleet.RolloutRunning)
-	x.play(9 * time.Second)
+	x.advance(9 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutDone)
-	x.is.Equal(len(x.all[0].Choose(x.all[0].group(), Request{ID: "q"}).First), 6)
+	x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: "q"}).First), 6)
 }
 
-// Symptom: a bad version gets requests after it was found out.
-// Events: its answers fail; one entry knows first and tells the others.
-func TestABadVersionIsHaltedEverywhereAndRolledBack(t *testing.T) {
+// Guards against a bad version getting requests after it was detected. One entry sees its
+// answers fail and notifies the others.
+func TestBadVersionIsHaltedOnAllEntriesAndRolledBack(t *testing.T) {
 	x := newFixture(t, 3)
-	x.play(2 * time.Second)
+	x.advance(2 * time.Second)
 	for i := range 12 {
-		x.all[1].answer(6+i%2, i%2 == 0 || i%3 == 0)
+		x.entries[1].answer(6+i%2, i%2 == 0 || i%3 == 0)
 	}
-	x.is.Equal(share(x.all[1]), 0.0)
-	x.all[2].Hear(x.all[1].Tell())
-	x.is.Equal(share(x.all[2]), 0.0)
-	x.play(3 * time.Second)
+	x.is.Equal(share(x.entries[1]), 0.0)
+	x.entries[2].Hear(x.entries[1].Tell())
+	x.is.Equal(share(x.entries[2]), 0.0)
+	x.advance(3 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRolledBack)
-	x.is.Equal(share(x.all[0]), 0.0)
-	x.play(duration)
-	x.is.Equal(x.state(), fleet.RolloutRolledBack) // it stays so
+	x.is.Equal(share(x.entries[0]), 0.0)
+	x.advance(duration)
+	x.is.Equal(x.state(), fleet.RolloutRolledBack) // the outcome is final
 }
 
-// Symptom: no entry alone sees enough of a bad version to halt it.
-// Their evidence adds up, whichever way and however often it is told.
-func TestEvidenceOfAllEntriesAddsUp(t *testing.T) {
+// Guards against a bad version of which no single entry sees enough to halt it. The
+// entries' evidence is pooled, in whichever order and however often it is exchanged.
+func TestEvidenceOfAllEntriesIsPooled(t *testing.T) {
 	x := newFixture(t, 4)
-	x.play(time.Second)
+	x.advance(time.Second)
 	for round := range 3 {
-		for i, e := range x.all {
+		for i, e := range x.entries {
 			e.answer(6+(round+i)%2, true)
 		}
 	}
-	for _, e := range x.all {
-		x.is.True(share(e) > 0) // three bad answers prove nothing
+	for _, e := range x.entries {
+		x.is.True(share(e) > 0) // three bad answers are not enough evidence
 	}
 	for range 3 {
-		for _, from := range x.all {
-			for _, to := range x.all {
+		for _, from := range x.entries {
+			for _, to := range x.entries {
 				to.Hear(from.Tell())
 			}
 		}
 	}
-	for _, e := range x.all {
+	for _, e := range x.entries {
 		x.is.Equal(share(e), 0.0)
 	}
 }
 
-// Symptom: a good version is rolled back because an engine is broken.
-// Events: one of the new endpoints fails half of its requests; the others are
-// well.
-func TestOneBrokenEndpointIsNoBadVersion(t *testing.T) {
+// Guards against a good version rolled back because of one faulty endpoint. One of the new
+// endpoints fails half of its requests, the others none.
+func TestOneFailingEndpointDoesNotHaltVersion(t *testing.T) {
 	x := newFixture(t, 1)
 	for i := range 200 {
-		x.all[0].answer(6, i%2 == 0)
-		x.all[0].answer(7, false)
-		x.all[0].answer(8, false)
+		x.entries[0].answer(6, i%2 == 0)
+		x.entries[0].answer(7, false)
+		x.entries[0].answer(8, false)
 	}
-	x.is.True(share(x.all[0]) > 0)
+	x.is.True(share(x.entries[0]) > 0)
 }
 
-// Symptom: a version that is bad on one route only is brought in.
-// Its other routes' good answers do not hide it.
-func TestAVersionBadOnOneRouteIsHalted(t *testing.T) {
+// Guards against completing a version that is bad on one route only, hidden by the good
+// answers on its other routes.
+func TestVersionBadOnOneRouteIsHalted(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	for i := range 100 {
 		e.answer(6+i%2, false)
 		e.answer(6+i%2, false)
@@ -255,9 +254,9 @@
 	x.is.Equal(share(e), 0.0)
 }
 
-func TestASlowVersionIsHalted(t *testing.T) {
+func TestSlowVersionIsHalted(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	answer := func(endpoint int, version string, took, wait time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", endpoint)), Version: version}, Route: "r",
 			Took: took, Wait: wait})
@@ -265,7 +264,7 @@
 	for range 50 {
 		answer(0, "v1", 100*time.Millisecond, 0)
 		answer(6, "v2", 120*time.Millisecond, 0)
-		answer(7, "v2", 2*time.Second, 1900*time.Millisecond) // it waited for others
+		answer(7, "v2", 2*time.Second, 1900*time.Millisecond) // queueing time
 	}
 	x.is.True(share(e) > 0)
 	for i := range 100 {
@@ -279,12 +278,12 @@
 	x.is.Equal(share(e), 0.0)
 }
 
-// Symptom: a good version is rolled back when some of its endpoints crash.
-// Events: the others take over what those had, and a burst of answers is slow;
-// then they are quick again.
-func TestABurstOfSlowAnswersIsNoBadVersion(t *testing.T) {
+// Guards against a good version rolled back when some of its endpoints crash. The others
+// take over their requests, which causes a burst of slow answers before they are fast
+// again.
+func TestBurstOfSlowAnswersDoesNotHaltVersion(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	answer := func(endpoint int, version string, took time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", endpoint)), Version: version}, Route: "r",
 			Took: took})
@@ -307,8 +306,8 @@
 	x.is.True(share(e) > 0)
 }
 
-// TestHaltRates: a version that fails a third of its answers is found after
-// few of them, one that fails one in fifty is left alone over thousands.
+// TestHaltRates: a version that fails a third of its answers is halted after few of them,
+// one that fails one in fifty is not halted in thousands.
 func TestHaltRates(t *testing.T) {
 	is := is.New(t)
 	play := func(seed uint64, failRate float64, most int) (answers int, halted bool) {
@@ -324,7 +323,7 @@
 				c.Failed++
 				c.Bad |= bit
 			}
-			e.take(src, c, time.Time{})
+			e.update(src, c, time.Time{})
 			if _, bad := e.bad(^uint64(0), time.Time{}); bad {
 				return n, true
 			}
@@ -350,94 +349,91 @@
 	is.True(wrong <= 3)
 }
 
-// Symptom: the operators see "done" of a version that was rolled back, or the
-// other way about.
-// Events: one entry has seen bad answers and cannot tell; another is due to
-// record that the version is done. Both write; answers are lost.
-// Whatever was recorded first stands.
-func TestOneOutcomeIsRecorded(t *testing.T) {
-	for _, lose := range []bool{false, true} {
-		t.Run(fmt.Sprint("answers lost: ", lose), func(t *testing.T) {
+// Guards against a version reported as done after it was rolled back, or the other way
+// round. One entry has seen bad answers but cannot notify the others; another is due to
+// record that the version is done. Both write, and answers are lost. The state recorded
+// first stands.
+func TestFirstRecordedOutcomeStands(t *testing.T) {
+	for _, loseAnswers := range []bool{false, true} {
+		t.Run(fmt.Sprint("answers lost: ", loseAnswers), func(t *testing.T) {
 			x := newFixture(t, 2)
-			x.all[0].store.lose, x.all[1].store.lose = lose, lose
-			x.play(21 * time.Second)
+			x.entries[0].store.loseAnswers, x.entries[1].store.loseAnswers = loseAnswers, loseAnswers
+			x.advance(21 * time.Second)
 			for i := range 20 {
-				x.all[1].answer(6+i%6, true)
+				x.entries[1].answer(6+i%6, true)
 			}
 			x.clock.Advance(2 * time.Second)
-			x.all[0].Tick(context.Background()) // records that it is done
-			x.all[1].Tick(context.Background()) // knows nothing of that, and halted it
+			x.entries[0].Tick(context.Background()) // records the version as done
+			x.entries[1].Tick(context.Background()) // has not seen that record, and halted the version
 			first := x.state()
-			x.is.True(final(first))
-			x.play(5 * time.Second)
+			x.is.True(isFinal(first))
+			x.advance(5 * time.Second)
 			x.is.Equal(x.state(), first)
 		})
 	}
 }
 
-// Symptom: a roll-out stops halfway and stays there.
-// Events: the entry that records is killed at each of its steps; the others
-// go on. A start anew learns the order's age from them.
-func TestARollOutGoesOnWithoutAnyOneEntry(t *testing.T) {
+// Guards against a roll-out that stalls when the recording entry is killed, at different
+// stages. A restarted entry learns the order's age from the others.
+func TestRollOutSurvivesLossOfOneEntry(t *testing.T) {
 	for _, at := range []time.Duration{time.Second, 12 * time.Second, 20 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
 			x := newFixture(t, 3)
-			x.play(at)
-			x.play(duration-at, x.all[0])
-			x.sync(x.all[1])
-			x.is.Equal(x.all[1].group().Rollout.State, fleet.RolloutDone)
+			x.advance(at)
+			x.advance(duration-at, x.entries[0])
+			x.sync(x.entries[1])
+			x.is.Equal(x.entries[1].group().Rollout.State, fleet.RolloutDone)
 		})
 	}
 	x := newFixture(t, 2)
-	x.play(19 * time.Second)
-	again := New(x.all[0].Deps)
-	again.Choose(x.all[0].group(), Request{ID: "q"})
-	again.Hear(x.all[1].Tell())
-	x.all[0].Controller = again
-	x.is.Equal(share(x.all[0]), 1.0)
+	x.advance(19 * time.Second)
+	restarted := New(x.entries[0].Deps)
+	restarted.Choose(x.entries[0].group(), Request{ID: "q"})
+	restarted.Hear(x.entries[1].Tell())
+	x.entries[0].Controller = restarted
+	x.is.Equal(share(x.entries[0]), 1.0)
 }
 
-// A store that is away delays the record; nothing else.
-func TestAStoreThatIsAwayDelaysTheRecord(t *testing.T) {
+// An unavailable store delays the record, and nothing else.
+func TestUnavailableStoreDelaysRecord(t *testing.T) {
 	x := newFixture(t, 2)
-	x.play(20 * time.Second)
-	for _, e := range x.all {
-		e.store.away = true
+	x.advance(20 * time.Second)
+	for _, e := range x.entries {
+		e.store.unavailable = true
 	}
-	x.play(3 * time.Second)
+	x.advance(3 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRunning)
-	for _, e := range x.all {
-		e.store.away = false
+	for _, e := range x.entries {
+		e.store.unavailable = false
 	}
-	x.play(3 * time.Second)
+	x.advance(3 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutDone)
 }
 
-// Symptom: a session's answers come from two versions by turns.
-// Events: its requests reach several entries; an order comes while it is under
-// way. Entries exchange what they know.
-// A session under way stays on its version in the first half, then moves once;
-// one that is new goes where it will stay.
+// Guards against a session switching back and forth between versions. Its requests reach
+// several entries, and an order arrives while it is active. Entries exchange their
+// sessions. An active session stays on its version in the first half, then moves once; a
+// new one never moves back.
 func TestASessionStaysOnItsVersion(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newFixture(t, 3)
 		session := rapid.StringMatching(`[a-z]{6}`).Draw(rt, "session")
 		before := rapid.Bool().Draw(rt, "under way before the order")
 		serve := func() string {
-			e := x.all[rapid.IntRange(0, 2).Draw(rt, "entry")]
+			e := x.entries[rapid.IntRange(0, 2).Draw(rt, "entry")]
 			v := e.Choose(e.group(), Request{ID: "q", Session: session}).First[0].Version
 			e.Keep(session, e.group(), v)
 			return v
 		}
 		exchange := func() {
-			for i := range x.all {
-				x.all[(i+1)%3].Hear(x.all[i].Tell())
-				x.all[i].Hear(x.all[(i+1)%3].Tell())
+			for i := range x.entries {
+				x.entries[(i+1)%3].Hear(x.entries[i].Tell())
+				x.entries[i].Hear(x.entries[(i+1)%3].Tell())
 			}
 		}
 		last := ""
 		if before {
-			x.all[0].Keep(session, x.all[0].group(), "v1")
+			x.entries[0].Keep(session, x.entries[0].group(), "v1")
 			last = "v1"
 		}
 		for i := range 24 {
@@ -455,10 +451,11 @@
 	})
 }
 
-// Some sessions go to a new version first, if they are new.
-func TestNewSessionsAreAmongTheFirst(t *testing.T) {
+// A part of the new sessions goes to the new version in the canary stage; active ones do
+// not.
+func TestNewSessionsMayMoveFirst(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	moved, stayed := 0, 0
 	for i := range 1000 {
 		old, fresh := fmt.Sprint("old", i), fmt.Sprint("new", i)
@@ -473,31 +470,30 @@
 	x.is.Equal(stayed, 0)
 	x.is.True(moved > 30 && moved < 120)
 	_, _, told := e.Tell()
-	x.is.True(len(told) < 120) // only those that would move are told of
+	x.is.True(len(told) < 120) // only sessions that would move are exchanged
 }
 
-// A new order for the same service starts from nothing.
-func TestANewOrderStartsAnew(t *testing.T) {
+// A new order for the same service starts without evidence.
+func TestNewOrderResetsEvidence(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	for i := range 20 {
 		e.answer(6+i%2, true)
 	}
-	x.play(2 * time.Second)
+	x.advance(2 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRolledBack)
 	x.order()
 	x.sync()
 	x.is.True(share(e) > 0)
-	x.play(2 * time.Second)
+	x.advance(2 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRunning)
 }
 
-// Symptom: a version that is eight times as slow passes on routes whose
-// prompts differ in length.
-// What an answer should take goes by its own prompt.
-func TestASlowVersionIsHaltedWhateverItsPrompts(t *testing.T) {
+// Guards against missing a version eight times as slow on routes with prompts of different
+// lengths. The expected time depends on each prompt.
+func TestSlowVersionIsHaltedForMixedPromptLengths(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	answer := func(i int, version string, factor int) {
 		expected := time.Duration(50+i%10*100) * time.Millisecond
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", 6+i%2)), Version: version}, Route: "r",
@@ -505,7 +501,7 @@
 	}
 	for i := range 60 {
 		answer(i, "v1", 1)
-		answer(i, "v2", 1) // as quick as the old one, long prompts and short
+		answer(i, "v2", 1) // as fast as the old one, for long and short prompts
 	}
 	x.is.True(share(e) > 0)
 	for i := range 120 {
@@ -519,12 +515,12 @@
 	x.is.Equal(share(e), 0.0)
 }
 
-// Symptom: a version eight times as slow gets a fifth of the requests.
-// Events: most of its endpoints, which had answered well, go; those that are
-// left answer badly, and are fewer than half of all that were ever seen.
-func TestEndpointsThatAreGoneDoNotSpeakForTheVersion(t *testing.T) {
+// Guards against a version eight times as slow getting a fifth of the requests. Most of its
+// endpoints, which had answered well, are removed. The remaining ones answer badly, but are
+// fewer than half of all endpoints ever seen.
+func TestRemovedEndpointsDoNotCountAsEvidence(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	for i := range 60 {
 		e.answer(6+i%6, false)
 	}
@@ -539,15 +535,15 @@
 	x.is.Equal(share(e), 0.0)
 }
 
-// Symptom: a bad version gets all requests before anything is known of it.
-// Events: its endpoints become known late, so that few answers have been seen
-// when half of the time is over; or what was seen gives doubt.
-func TestAllMoveOnlyAfterEnoughWasSeen(t *testing.T) {
+// Guards against promoting a bad version without evidence. Its endpoints register late, so
+// that few answers have been seen when half of the time is over, or the evidence is in
+// doubt.
+func TestPromotionWaitsForEnoughAnswers(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
-	x.play(15 * time.Second)
-	x.is.True(share(e) < 0.0975) // nothing was seen yet
-	for i := range enoughSeen {
+	e := x.entries[0]
+	x.advance(15 * time.Second)
+	x.is.True(share(e) < 0.0975) // no answers were seen yet
+	for i := range minCanaryAnswers {
 		e.answer(6+i%2, false)
 	}
 	for i := range 2 {
@@ -557,24 +553,23 @@
 	for i := range 20 {
 		e.answer(6+i%2, false)
 	}
-	x.is.True(share(e) > 0.45 && share(e) < 0.55) // half first
-	x.play(2 * time.Second)
+	x.is.True(share(e) > 0.45 && share(e) < 0.55) // half of the requests first
+	x.advance(2 * time.Second)
 	x.is.Equal(share(e), 1.0)
 	for i := range 2 {
 		e.answer(6+i, true)
 	}
-	x.is.Equal(share(e), 1.0) // what has moved does not go back for a doubt
+	x.is.Equal(share(e), 1.0) // doubt does not revert a promotion
 	unseen := newFixture(t, 1)
-	unseen.play(19 * time.Second)
-	unseen.is.Equal(share(unseen.all[0]), 1.0) // there is no more time
+	unseen.advance(19 * time.Second)
+	unseen.is.Equal(share(unseen.entries[0]), 1.0) // promoted at the deadline
 }
 
-// Symptom: a slow version passes, as its first events come in time while few
-// requests are on it.
-// The pauses between its events are several times the usual.
-func TestAVersionWhoseStreamsAreSlowIsHalted(t *testing.T) {
+// Guards against missing a slow version whose first events are in time while it has few
+// requests. The pauses between its events are several times the baseline.
+func TestVersionWithSlowStreamsIsHalted(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	pace := func(version string, i int, took time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", 6+i%2)), Version: version}, Route: "r",
 			Took: took, Pace: true})
@@ -595,12 +590,11 @@
 	x.is.Equal(share(e), 0.0)
 }
 
-// Symptom: a good version is rolled back when a quarter of its endpoints
-// crash after all requests have moved.
-// Events: endpoints accept no connection; the others are slow for seconds.
-func TestSlownessAfterALossSaysNothing(t *testing.T) {
+// Guards against a good version rolled back when a quarter of its endpoints crash after
+// promotion. The lost endpoints accept no connections, and the others are slow for seconds.
+func TestSlowAnswersAfterEndpointLossAreIgnored(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	answer := func(i int, version string, took time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", 6+i%6)), Version: version}, Route: "r",
 			Took: took, Pace: true})
@@ -608,54 +602,52 @@
 	for i := range 100 {
 		answer(i, "v1", 40*time.Millisecond)
 	}
-	e.Lost(e.group(), fleet.Endpoint{ID: "e00", Version: "v1"}) // an old one, which says nothing
+	e.Lost(e.group(), fleet.Endpoint{ID: "e00", Version: "v1"}) // an old endpoint, ignored
 	e.Lost(e.group(), fleet.Endpoint{ID: "e06", Version: "v2"})
 	for i := range 100 {
 		x.clock.Advance(39 * time.Millisecond)
 		answer(i, "v2", 400*time.Millisecond)
 	}
 	x.is.True(share(e) > 0)
-	for i := range 100 { // it stays slow: it is the version
+	for i := range 100 { // it stays slow: the version is the cause
 		x.clock.Advance(60 * time.Millisecond)
 		answer(i, "v2", 400*time.Millisecond)
 	}
 	x.is.Equal(share(e), 0.0)
 }
 
-// Symptom: streams on the old endpoints are cut when a version is done.
-// Events: doubt holds the requests back until shortly before the time at which
-// the version would be recorded as done; then it clears.
-func TestDoneWaitsUntilRequestsHaveMoved(t *testing.T) {
+// Guards against cutting streams on old endpoints when a version is done. Doubt delays
+// promotion until shortly before the completion time, then clears.
+func TestCompletionWaitsForPromotion(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
-	x.play(12 * time.Second)
-	e.answer(7, false) // one of the two is well: no halt
+	e := x.entries[0]
+	x.advance(12 * time.Second)
+	e.answer(7, false) // one of the two endpoints is good: no halt
 	e.answer(6, true)
 	e.answer(6, true)
-	for range 9 * 5 { // the doubt hardly grows and does not go
+	for range 9 * 5 { // the doubt persists and hardly grows
 		e.answer(6, true)
 		for range 5 {
 			e.answer(7, false)
 		}
-		x.play(200 * time.Millisecond)
+		x.advance(200 * time.Millisecond)
 	}
 	x.is.True(share(e) < 0.0975)
 	for range 60 {
 		e.answer(7, false)
 	}
-	x.play(time.Second) // past the time at which it would be done
+	x.advance(time.Second) // past the completion time
 	x.is.Equal(x.state(), fleet.RolloutRunning)
-	x.play(4 * time.Second)
+	x.advance(4 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutDone)
 }
 
-// Symptom: a slow version is recorded as done.
-// Events: all entries are killed after all requests have moved to it; started
-// again, none of them has ever seen what is usual, nor the evidence there was.
-func TestASlowVersionIsFoundAfterAllEntriesWereKilled(t *testing.T) {
+// Guards against a slow version recorded as done. All entries are killed after promotion;
+// after the restart none has a baseline or the earlier evidence.
+func TestSlowVersionIsNotCompletedAfterAllEntriesRestart(t *testing.T) {
 	x := newFixture(t, 1)
-	x.play(18 * time.Second)
-	e := x.all[0]
+	x.advance(18 * time.Second)
+	e := x.entries[0]
 	e.Controller = New(e.Deps)
 	e.Hear([]Told{{Service: "s", Ordered: e.group().Rollout.Ordered, Age: 18 * time.Second}}, nil, nil)
 	for i := range 60 {
@@ -667,25 +659,24 @@
 		}
 		e.Observe(Answer{Group: e.group(), Endpoint: c.First[0], Route: "r", Took: took, Pace: true})
 	}
-	x.play(6 * time.Second)
+	x.advance(6 * time.Second)
 	x.is.True(x.state() != fleet.RolloutDone)
 }
 
-// Symptom: a slow version is recorded as done.
-// Events: half of the entries are killed twice in mid roll-out; a quarter of the
-// answers that the others count are slow, spread so that the statistic stands
-// near zero again when the version is asked for.
-// A share of slow answers that no version in force has is a doubt by itself.
-func TestAQuarterOfSlowAnswersIsDoubt(t *testing.T) {
+// Guards against a slow version recorded as done. Half of the entries are killed twice
+// during the roll-out. A quarter of the answers that the others count are slow, spread so
+// that the statistic is near zero again when it is read. A share of slow answers that no
+// version in force has delays promotion by itself.
+func TestQuarterOfSlowAnswersDelaysPromotion(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	answer := func(i int, version string, took time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", 6+i%2)), Version: version}, Route: "r", Took: took})
 	}
 	for i := range 20 {
 		answer(i, "v1", 50*time.Millisecond)
 	}
-	x.play(13 * time.Second)
+	x.advance(13 * time.Second)
 	for i := range 100 {
 		took := 50 * time.Millisecond
 		if i%4 == 0 {
@@ -694,36 +685,34 @@
 		answer(i, "v2", took)
 	}
 	x.is.True(share(e) < 0.0975)
-	x.play(9 * time.Second)
+	x.advance(9 * time.Second)
 	x.is.True(x.state() != fleet.RolloutDone)
 }
 
-// Symptom: the sessions that a started entry serves go back to the old version.
-// Events: it is started anew after the others have moved all requests.
-// It hears that they have.
-func TestALateEntryMovesWithTheOthers(t *testing.T) {
+// Guards against sessions moving back to the old version on an entry that is restarted
+// after the others have promoted the new one. It learns of the promotion from them.
+func TestRestartedEntryPromotesWithOthers(t *testing.T) {
 	x := newFixture(t, 2)
-	x.play(13 * time.Second)
-	for i := range enoughSeen {
-		x.all[0].answer(6+i%2, false)
+	x.advance(13 * time.Second)
+	for i := range minCanaryAnswers {
+		x.entries[0].answer(6+i%2, false)
 	}
-	x.play(3*time.Second, x.all[1])
-	x.is.Equal(share(x.all[0]), 1.0)
-	late := x.all[1]
+	x.advance(3*time.Second, x.entries[1])
+	x.is.Equal(share(x.entries[0]), 1.0)
+	late := x.entries[1]
 	late.Controller = New(late.Deps)
 	x.is.True(share(late) < 0.0975)
-	late.Hear(x.all[0].Tell())
+	late.Hear(x.entries[0].Tell())
 	x.is.Equal(share(late), 1.0)
 }
 
-// Symptom: a good version is rolled back on a crowded day.
-// Events: it has all requests, and some of the endpoints have crashed or are
-// taken away; the pauses between events are three times what was usual of the
-// old version on emptier endpoints.
-// Crowded is not slow; eight times as slow is.
-func TestACrowdedVersionIsNotASlowOne(t *testing.T) {
+// Guards against a good version rolled back under high load. It has all requests, and some
+// endpoints have crashed or are removed. The pauses between events are three times the
+// baseline, learned from the old version on less loaded endpoints. That must not halt the
+// version; eight times as long must.
+func TestLoadedVersionIsNotHaltedAsSlow(t *testing.T) {
 	x := newFixture(t, 1)
-	e := x.all[0]
+	e := x.entries[0]
 	pace := func(version string, i int, took time.Duration) {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprintf("e%02d", 6+i%6)), Version: version}, Route: "r",
 			Took: took, Pace: true})
@@ -732,14 +721,14 @@
 		pace("v1", i, time.Duration(30+i%30)*time.Millisecond)
 		pace("v2", i, time.Duration(30+i%30)*time.Millisecond)
 	}
-	x.play(15 * time.Second)
+	x.advance(15 * time.Second)
 	x.is.Equal(share(e), 1.0)
 	for i := range 300 {
 		x.clock.Advance(20 * time.Millisecond)
 		pace("v2", i, time.Duration(90+i%100)*time.Millisecond)
 	}
 	x.is.Equal(share(e), 1.0)
-	for i := range 100 { // as crowded, and two in five are slow besides
+	for i := range 100 { // under the same load, two in five are slow
 		x.clock.Advance(50 * time.Millisecond)
 		took := 120 * time.Millisecond
 		if i%5 < 2 {
--- a/rollout/sessions.go
+++ b/rollout/sessions.go
@@ -6,62 +6,59 @@
 	"github.com/lovageweir/lovageweir/place"
 )
 
-// A session must not move to a new version in the first half of its roll-out,
-// whichever entries its requests reach. Whether it may be among the first to
-// move is decided by a hash, alike on all entries; those under way on another
-// version when the order came stay there, and for that the entries tell each
-// other which they have served of late. Only the sessions that the hash would
-// move are told of: a few percent.
+// A session must not move to a new version in the first half of a roll-out, whichever
+// entries its requests reach. A hash, identical on all entries, selects the sessions that
+// may move first. Sessions active on another version when the order arrives stay there, so
+// entries exchange which sessions they served recently. Only sessions selected by the hash
+// are exchanged: a few percent.
 
-// mostSessions bounds the sessions told in one exchange; the share of
-// requests that goes to a new version first falls with a service's size, so
-// that there are not more within a session's life.
-const mostSessions = 512
+// maxExchangedSessions bounds the sessions in one exchange. The canary share falls with a
+// service's size, so that no more occur within a session's lifetime.
+const maxExchangedSessions = 512
 
-// Session is a session that was served of late by another version than the
-// one being brought in, by its hash.
+// Session identifies, by its hash, a session served recently by another version than the
+// one being rolled out.
 type Session struct {
 	Hash uint32
 	Ago  time.Duration
 }
 
-// sessions are those known, by hash, with the time of their last request.
+// sessions holds the last request time of the known sessions by hash.
 type sessions struct {
-	life time.Duration
-	used map[uint32]time.Time
+	life     time.Duration
+	lastUsed map[uint32]time.Time
 }
 
 func newSessions(life time.Duration) *sessions {
-	return &sessions{life: life, used: map[uint32]time.Time{}}
+	return &sessions{life: life, lastUsed: map[uint32]time.Time{}}
 }
 
 func sessionHash(session string) uint32 { return uint32(place.Hash(session) >> 32) }
 
-// sessionShare is where a session stands among all: those below a share are moved
-// with it.
-func sessionShare(hash uint32) float64 { return float64(hash) / (1 << 32) }
+// sessionPosition maps a session to [0, 1): sessions below a share are moved with it.
+func sessionPosition(hash uint32) float64 { return float64(hash) / (1 << 32) }
 
 func (s *sessions) note(hash uint32, at time.Time) {
-	if old, ok := s.used[hash]; !ok || at.After(old) {
-		s.used[hash] = at
+	if old, ok := s.lastUsed[hash]; !ok || at.After(old) {
+		s.lastUsed[hash] = at
 	}
 }
 
-// underWay reports whether a session goes on.
-func (s *sessions) underWay(hash uint32, now time.Time) bool {
-	at, ok := s.used[hash]
+// active reports whether a session had a request within its lifetime.
+func (s *sessions) active(hash uint32, now time.Time) bool {
+	at, ok := s.lastUsed[hash]
 	return ok && now.Sub(at) < s.life
 }
 
-// tell returns the sessions that go on, and forgets the others.
-func (s *sessions) tell(now time.Time) []Session {
+// snapshot returns the active sessions and deletes the expired ones.
+func (s *sessions) snapshot(now time.Time) []Session {
 	var out []Session
-	for hash, at := range s.used {
+	for hash, at := range s.lastUsed {
 		if now.Sub(at) >= s.life {
-			delete(s.used, hash)
+			delete(s.lastUsed, hash)
 			continue
 		}
-		if len(out) < mostSessions {
+		if len(out) < maxExchangedSessions {
 			out = append(out, Session{Hash: hash, Ago: now.Sub(at)})
 		}
 	}
--- a/rollout/strata_test.go
+++ b/rollout/strata_test.go
@@ -6,8 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a share of failures on a few routes taken for that of all requests.
-func TestAFirstShareIsAsLargeAsItIsDrawnFromAnyRoutes(t *testing.T) {
+// Guards against a canary share that differs from the intended share of all requests when
+// it is sampled by route.
+func TestAllocatedSharesSumToCanaryShare(t *testing.T) {
 	for name, requests := range map[string]map[string]int{
 		"one":               {"a": 100},
 		"two":               {"a": 72, "b": 28},
@@ -20,15 +21,15 @@
 				is := is.New(t)
 				s := strata{requests: requests}
 				for _, n := range requests {
-					s.all += n
+					s.total += n
 				}
 				sum := 0.0
-				for route, share := range s.draw(of, func(route string) bool { return route == doubt }) {
+				for route, share := range s.allocate(of, func(route string) bool { return route == doubt }) {
 					is.True(share > 0 && share <= 1)
-					sum += share * s.part(route)
+					sum += share * s.trafficShare(route)
 				}
 				t.Log(name, of, doubt, sum)
-				is.True(sum > of-1e-9 && sum < of+1e-9) // no more and no less is drawn
+				is.True(sum > of-1e-9 && sum < of+1e-9) // the overall share is kept
 			}
 		}
 	}
--- a/rollout/trial_test.go
+++ b/rollout/trial_test.go
@@ -12,23 +12,23 @@
 	"github.com/lovageweir/lovageweir/place"
 )
 
-// The load of these tests: streams that come at an even pace and last some
-// seconds on an endpoint, so that the fixture's twelve endpoints have some
-// thirteen each.
+// Load of these tests: streams at a constant rate that last some seconds on an endpoint, so
+// that the fixture's twelve endpoints have some thirteen each.
 const (
-	trialSlots  = 64
-	streamEvery = 25 * time.Millisecond
-	streamLife  = 4 * time.Second
+	trialSlots     = 64
+	streamInterval = 25 * time.Millisecond
+	streamDuration = 4 * time.Second
 )
 
-// engines are the requests that run at each endpoint, by when they end.
+// engines holds the end times of the requests running at each endpoint, and the peak
+// number.
 type engines struct {
 	ends map[fleet.EndpointID][]time.Time
-	most map[fleet.EndpointID]int
+	peak map[fleet.EndpointID]int
 }
 
 func newEngines() *engines {
-	return &engines{ends: map[fleet.EndpointID][]time.Time{}, most: map[fleet.EndpointID]int{}}
+	return &engines{ends: map[fleet.EndpointID][]time.Time{}, peak: map[fleet.EndpointID]int{}}
 }
 
 func (g *engines) running(id fleet.EndpointID, now time.Time) int {
@@ -42,9 +42,9 @@
 }
 
 func (g *engines) run(id fleet.EndpointID, now time.Time) int {
-	g.ends[id] = append(g.ends[id], now.Add(streamLife))
+	g.ends[id] = append(g.ends[id], now.Add(streamDuration))
 	n := g.running(id, now)
-	g.most[id] = max(g.most[id], n)
+	g.peak[id] = max(g.peak[id], n)
 	return n
 }
 
@@ -55,14 +55,14 @@
 	}
 }
 
-// playStreams plays the load for so long; fails says whether the nth request at
-// an endpoint fails, with so many running there.
-func (x *fixture) playStreams(d time.Duration, fails func(id fleet.EndpointID, nth, running int) bool) *engines {
-	e := x.all[0]
+// simulateStreams runs the load for a time; fails reports whether the nth request at an
+// endpoint fails, given the number running there.
+func (x *fixture) simulateStreams(d time.Duration, fails func(id fleet.EndpointID, nth, running int) bool) *engines {
+	e := x.entries[0]
 	load := newEngines()
 	nth := map[fleet.EndpointID]int{}
-	for i := range int(d / streamEvery) {
-		x.clock.Advance(streamEvery)
+	for i := range int(d / streamInterval) {
+		x.clock.Advance(streamInterval)
 		now := x.clock.Now()
 		g := e.group()
 		first := e.Choose(g, Request{ID: fmt.Sprint(i)}).First
@@ -75,7 +75,7 @@
 			nth[trial.Endpoint.ID]++
 			e.ObserveTrial(g, trial, running, fails(trial.Endpoint.ID, nth[trial.Endpoint.ID], running))
 		}
-		if i%int(Interval/streamEvery) == 0 {
+		if i%int(Interval/streamInterval) == 0 {
 			e.Tick(x.t.Context())
 			x.sync(e)
 		}
@@ -92,100 +92,95 @@
 	return x
 }
 
-func (x *fixture) onTrial(n int) fleet.EndpointID {
-	_, newer := split(x.all[0].group().Ready, "v2")
-	return inTrialOrder(newer, x.all[0].group().Rollout.Ordered)[n].ID
+func (x *fixture) trialEndpoint(n int) fleet.EndpointID {
+	_, newer := splitByVersion(x.entries[0].group().Ready, "v2")
+	return sortForTrial(newer, x.entries[0].group().Rollout.Ordered)[n].ID
 }
 
-// Symptom: a version that fails under load gets all requests of its service.
-// Events: its endpoints are well with their part of the requests and fail half
-// of them when half of their slots are taken, which the traffic of the day
-// brings about nowhere; the version is recorded as done.
-// Before any requests move, endpoints are filled with copies: more than twice
-// their part, and half of their slots. The version fails there and is halted.
-func TestAVersionIsTriedUnderLoadBeforeAllMove(t *testing.T) {
+// Guards against completing a version that fails under load. Its endpoints serve their part
+// of the requests well and fail half of them when half of their slots are taken, which the
+// day's traffic never causes. Before promotion, endpoints are filled with copies, to more
+// than twice their part and half of their slots. The version fails there and is halted.
+func TestVersionFailingUnderLoadIsHaltedByTrial(t *testing.T) {
 	x := newTrialFixture(t)
-	load := x.playStreams(duration, func(_ fleet.EndpointID, nth, running int) bool { return running > trialSlots/2 && nth%2 == 0 })
-	part := int(streamLife / streamEvery / 12)
-	x.is.True(load.most[x.onTrial(0)] > 2*part)
-	x.is.True(load.most[x.onTrial(0)] > trialSlots/2)
-	x.is.Equal(share(x.all[0]), 0.0)
+	load := x.simulateStreams(duration, func(_ fleet.EndpointID, nth, running int) bool { return running > trialSlots/2 && nth%2 == 0 })
+	part := int(streamDuration / streamInterval / 12)
+	x.is.True(load.peak[x.trialEndpoint(0)] > 2*part)
+	x.is.True(load.peak[x.trialEndpoint(0)] > trialSlots/2)
+	x.is.Equal(share(x.entries[0]), 0.0)
 	x.is.Equal(x.state(), fleet.RolloutRolledBack)
 }
 
-// A version that is well under load is done in time, and only one of its
-// endpoints is filled.
-func TestAVersionThatIsWellUnderLoadIsDone(t *testing.T) {
+// A version that is good under load is done in time, and only one of its endpoints is
+// filled.
+func TestVersionPassingTrialCompletes(t *testing.T) {
 	x := newTrialFixture(t)
-	load := x.playStreams(duration, func(fleet.EndpointID, int, int) bool { return false })
+	load := x.simulateStreams(duration, func(fleet.EndpointID, int, int) bool { return false })
 	x.is.Equal(x.state(), fleet.RolloutDone)
-	x.is.True(load.most[x.onTrial(0)] > trialSlots/2)
-	x.is.True(load.most[x.onTrial(1)] < trialSlots/2)
+	x.is.True(load.peak[x.trialEndpoint(0)] > trialSlots/2)
+	x.is.True(load.peak[x.trialEndpoint(1)] < trialSlots/2)
 }
 
-// Symptom: a good version is rolled back, or never done, as one endpoint is in
-// trouble of its own.
-// Events: the first endpoint on trial fails a third of its requests; another,
-// just as full, does not.
-func TestOneEndpointThatFailsItsTrialIsNoBadVersion(t *testing.T) {
+// Guards against a good version rolled back, or never done, because of one faulty endpoint.
+// The first endpoint under trial fails a third of its requests; another, just as full,
+// fails none.
+func TestOneEndpointFailingTrialDoesNotHaltVersion(t *testing.T) {
 	x := newTrialFixture(t)
-	sick := x.onTrial(0)
-	x.playStreams(12*time.Second, func(id fleet.EndpointID, nth, _ int) bool { return id == sick && nth%3 == 0 })
+	faulty := x.trialEndpoint(0)
+	x.simulateStreams(12*time.Second, func(id fleet.EndpointID, nth, _ int) bool { return id == faulty && nth%3 == 0 })
 	x.is.Equal(x.state(), fleet.RolloutRunning)
-	x.is.True(!x.all[0].tracks["s"].evidence.doubt(0.5))
-	x.playStreams(14*time.Second, func(fleet.EndpointID, int, int) bool { return false }) // it is well again
+	x.is.True(!x.entries[0].trackers["s"].evidence.inDoubt(0.5))
+	x.simulateStreams(14*time.Second, func(fleet.EndpointID, int, int) bool { return false }) // the endpoint has recovered
 	x.is.Equal(x.state(), fleet.RolloutDone)
 }
 
-// Symptom: the first endpoint failed its trial, and the version is recorded as
-// done all the same.
-// Events: there was no time to fill a second one.
-// Then the requests stay where they are; nobody knows.
-func TestAnUnfinishedTrialKeepsRequestsFromMoving(t *testing.T) {
+// Guards against completing a version whose first endpoint failed its trial when there was
+// no time to fill a second one. Promotion then waits, as the cause is unknown.
+func TestUnfinishedTrialDelaysPromotion(t *testing.T) {
 	x := newTrialFixture(t)
-	e := x.all[0]
-	x.play(11 * time.Second)
-	trial := Trial{Endpoint: fleet.Endpoint{ID: x.onTrial(0), Version: "v2", Slots: trialSlots}, route: trialRoutes[0]}
+	e := x.entries[0]
+	x.advance(11 * time.Second)
+	trial := Trial{Endpoint: fleet.Endpoint{ID: x.trialEndpoint(0), Version: "v2", Slots: trialSlots}, route: trialRoutes[0]}
 	for i := range 20 {
 		e.ObserveTrial(e.group(), trial, trialSlots/2, i < trialSuspect)
 		e.answer(6+i%6, false)
 	}
-	for i := range enoughSeen {
+	for i := range minCanaryAnswers {
 		e.answer(6+i%6, false)
 	}
-	x.play(12 * time.Second)
+	x.advance(12 * time.Second)
 	x.is.True(share(e) < 0.0975)
 	x.is.Equal(x.state(), fleet.RolloutRunning)
 }
 
-// Symptom: a version that fails under load is neither brought in nor rolled back.
-// Events: its first endpoint fails five of a hundred copies; traffic is thin, so that
-// the bound on exposure leaves no copies for a second one.
-// Cause: it was left in doubt until its time was over.
-func TestAVersionThatFailedItsOnlyTrialIsRolledBack(t *testing.T) {
+// Guards against a version that fails under load being neither completed nor rolled back.
+// Its first endpoint fails five of a hundred copies. With little traffic, the bound on
+// exposure leaves no copies for a second one, and the version stayed in doubt until the end
+// of its time.
+func TestVersionFailingItsOnlyTrialIsRolledBack(t *testing.T) {
 	x := newTrialFixture(t)
-	e := x.all[0]
-	x.play(8 * time.Second)
-	trial := Trial{Endpoint: fleet.Endpoint{ID: x.onTrial(0), Version: "v2", Slots: trialSlots}, route: trialRoutes[0]}
+	e := x.entries[0]
+	x.advance(8 * time.Second)
+	trial := Trial{Endpoint: fleet.Endpoint{ID: x.trialEndpoint(0), Version: "v2", Slots: trialSlots}, route: trialRoutes[0]}
 	for i := range 100 {
 		e.ObserveTrial(e.group(), trial, trialSlots/2, i%20 == 0)
 	}
-	for i := range enoughSeen {
+	for i := range minCanaryAnswers {
 		e.answer(6+i%6, false)
 	}
-	x.play(9 * time.Second)
-	x.is.Equal(x.state(), fleet.RolloutRunning) // a second endpoint may still tell
-	x.play(5 * time.Second)
+	x.advance(9 * time.Second)
+	x.is.Equal(x.state(), fleet.RolloutRunning) // a second endpoint may still be tried
+	x.advance(5 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRolledBack)
 }
 
-// Whatever the load, copies and the first share together stay within the
-// operators' bound on what a bad version may get.
-func TestATrialKeepsTheBoundOnExposure(t *testing.T) {
+// Copies and the canary share together stay within the operators' bound on exposure under
+// any load.
+func TestTrialKeepsBoundOnExposure(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		x := newTrialFixture(t)
-		e := x.all[0]
+		e := x.entries[0]
 		e.Exposure = Exposure{Share: rapid.Float64Range(0, 0.3).Draw(rt, "share"), Slack: float64(rapid.IntRange(0, 60).Draw(rt, "slack"))}
 		every := time.Duration(rapid.IntRange(5, 400).Draw(rt, "every_ms")) * time.Millisecond
 		requests, copies := 0.0, 0.0
@@ -206,16 +201,15 @@
 	})
 }
 
-// Symptom: a version that fails some of its callers' answers gets more of all requests
-// than operators allow until it is rolled back, and the next order comes at once.
-// Events: callers' failures come one in a second or two; meanwhile an endpoint is
-// filled with copies, twice as many as the callers' requests.
-// Cause: copies went on beside the evidence of callers, which tells the same with fewer
-// requests. By the logs of a play with 141 requests where 127 were allowed, 81 were
-// copies.
-func TestCopiesWaitWhileCallersAreFailed(t *testing.T) {
+// Guards against a version that fails some callers' answers getting more of all requests
+// than operators allow before it is rolled back and the next order comes at once. Callers'
+// failures occur one in a second or two; meanwhile an endpoint is filled with copies, twice
+// as many as the callers' requests. The cause was that copies continued despite the
+// callers' evidence, which shows the same with fewer requests. In the logs of one run with
+// 141 requests where 127 were allowed, 81 were copies.
+func TestCopiesPauseWhileCallersRequestsFail(t *testing.T) {
 	x := newTrialFixture(t)
-	e := x.all[0]
+	e := x.entries[0]
 	for range 200 {
 		e.Observe(Answer{Group: e.group(), Endpoint: fleet.Endpoint{ID: "e00", Version: "v1"}, Route: "r", Took: time.Millisecond})
 	}
@@ -224,9 +218,9 @@
 	copied := func() bool { _, ok := e.Trial(e.group(), idle); return ok }
 	x.is.True(copied())
 	e.answer(6, true)
-	x.is.True(!copied()) // one failure may be the first of many
+	x.is.True(!copied()) // the failure may be the first of many
 	for range 6 {
 		e.answer(6, false)
 	}
-	x.is.True(copied()) // it was one failure
+	x.is.True(copied()) // the failure remained the only one
 }
