--- a/peers/bench_test.go
+++ b/peers/bench_test.go
@@ -9,11 +9,11 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-func size(m proto.Message) int { return proto.Size(m) }
+func protoSize(m proto.Message) int { return proto.Size(m) }
 
-// BenchmarkGossipSecond is one second of membership for a whole fleet:
-// processor time, messages and bytes per entry, at several fleet sizes with
-// 13 failure domains as at the target.
+// BenchmarkGossipSecond measures one second of gossip in a whole fleet: CPU
+// time, messages and bytes per entry, at several fleet sizes with 13 failure
+// domains, as at the target size.
 func BenchmarkGossipSecond(b *testing.B) {
 	for _, per := range []int{2, 8, 25} {
 		b.Run(fmt.Sprintf("entries=%d", 13*per), func(b *testing.B) {
@@ -22,18 +22,19 @@
 			net.calls, net.bytes = 0, 0
 			b.ResetTimer()
 			for range b.N {
-				net.second()
+				net.tick()
 			}
 			entries := float64(b.N * len(net.nodes))
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/entries, "us/entry/s")
 			b.ReportMetric(float64(net.calls)/entries, "exchanges/entry/s")
-			// Each exchange costs both sides its bytes.
+			// The bytes of each exchange count at both sides.
 			b.ReportMetric(2*float64(net.bytes)/entries, "B/entry/s")
 		})
 	}
 }
 
-// BenchmarkSpread is how many seconds a change takes to every entry.
+// BenchmarkSpread measures how many seconds a change takes to reach every
+// entry.
 func BenchmarkSpread(b *testing.B) {
 	for _, per := range []int{2, 8, 25} {
 		b.Run(fmt.Sprintf("entries=%d", 13*per), func(b *testing.B) {
@@ -46,7 +47,7 @@
 				net.nodes["e-0-0"].Rumour()
 				n := 0
 				for net.behind(rev) > 0 {
-					net.second()
+					net.tick()
 					n++
 				}
 				seconds, worst = seconds+n, max(worst, n)
@@ -57,8 +58,8 @@
 	}
 }
 
-// BenchmarkHolds is the cost of asking whose duty something is, once per
-// back end and second when load reports are shared out.
+// BenchmarkHolds measures one Holds call, which is made once per second for
+// each back end to divide load polling among the entries.
 func BenchmarkHolds(b *testing.B) {
 	net := newNetwork(13, 25)
 	net.run(30)
--- a/peers/gossip.go
+++ b/peers/gossip.go
@@ -14,40 +14,42 @@
 
 // Bounds of gossip.
 const (
-	// Interval is the time between two rounds an entry starts.
+	// Interval is the time between the rounds that an entry starts.
 	Interval = time.Second
-	// foreignEvery makes every n-th round go to another failure domain.
-	foreignEvery = 4
-	// exchangeWait bounds one exchange: a peer behind a cut or a connection
-	// gone silent must not hold up the next round.
-	exchangeWait = 700 * time.Millisecond
+	// remoteDomainEvery makes every n-th round go to another failure domain.
+	remoteDomainEvery = 4
+	// exchangeTimeout bounds one exchange: an unreachable peer or a stalled
+	// connection must not delay the next round.
+	exchangeTimeout = 700 * time.Millisecond
 	// seedEvery makes every n-th round go to a seed even when members are
-	// known: after a long cut both sides have forgotten each other, and
-	// without this the two halves would never meet again.
+	// known: after a long network partition both sides have evicted each
+	// other, and without this they would never reconnect.
 	seedEvery = 10
-	// rowsEvery makes every n-th digest carry whole rows; in the first
-	// youngBeats rounds of an entry's life every digest from and to it does.
-	rowsEvery  = 5
-	youngBeats = 20
-	// rumourFanout is how many peers hear of news at once.
-	rumourFanout = 3
+	// fullDigestEvery makes every n-th digest carry full member records. In the
+	// first warmUpBeats rounds of an entry every digest from and to it does.
+	fullDigestEvery = 5
+	warmUpBeats     = 20
+	// spreadFanout is how many peers of the own domain an update is sent to at
+	// once.
+	spreadFanout = 3
 )
 
 // Received is a peer's digest.
 type Received struct {
 	*peerpb.Digest
-	// Asked is when this entry asked for it, zero when the peer sent it
-	// unasked. An unasked digest may have lain in a socket while this process
-	// was paused, so nothing in it says how things stand now.
+	// Asked is when this entry requested the digest, or zero if the peer sent
+	// it unrequested. An unrequested digest may have waited in a socket buffer
+	// while this process was paused, so it proves nothing about the present.
 	Asked time.Time
 }
 
-// Topic is one kind of knowledge carried in digests. Fill adds it; local is
-// true when the peer is in the same failure domain. Merge takes the peer's
-// and returns whether it held news worth passing on at once.
+// Topic is one kind of state carried in digests. Fill adds this entry's state
+// to a digest; local is true when the peer is in the same failure domain. Merge
+// applies the peer's state and reports whether it contained a change to
+// propagate at once.
 type Topic interface {
 	Fill(d *peerpb.Digest, local bool)
-	Merge(ctx context.Context, d Received) (news bool)
+	Merge(ctx context.Context, d Received) (changed bool)
 }
 
 // Dial returns a client for a peer's base URL.
@@ -74,32 +76,32 @@
 	dial  Dial
 	log   *slog.Logger
 
-	topics  []Topic
-	round   int
-	digests atomic.Int64
-	rumour  chan struct{}
+	topics          []Topic
+	round           int
+	digests         atomic.Int64
+	spreadRequested chan struct{}
 }
 
-// NewGossip returns gossip over table. seeds gives base URLs that may hold a
-// peer: from the settings and from the platform's instance list.
+// NewGossip returns gossip over table. seeds returns base URLs at which a peer
+// may be reachable: from the settings and from the platform's instance list.
 func NewGossip(table *Table, seeds func() []string, dial Dial, log *slog.Logger) *Gossip {
-	return &Gossip{table: table, seeds: seeds, dial: dial, log: log, rumour: make(chan struct{}, 1)}
+	return &Gossip{table: table, seeds: seeds, dial: dial, log: log, spreadRequested: make(chan struct{}, 1)}
 }
 
 // Add registers topics; it must be called before the first round.
 func (g *Gossip) Add(topics ...Topic) { g.topics = append(g.topics, topics...) }
 
-// Digest is what this entry tells a peer. Most digests name members by id
-// and beat only: whole rows would be most of what gossip sends.
-// to may be nil.
+// Digest builds the digest to send to a peer. Most digests list members by id
+// and heartbeat counter only: full records would make up most of the gossip
+// traffic. to may be nil.
 func (g *Gossip) Digest(to *peerpb.Member) *peerpb.Digest {
 	d := &peerpb.Digest{From: g.table.Self()}
-	rows := g.table.Rows()
-	if g.digests.Add(1)%rowsEvery == 1 || young(d.From) || young(to) {
-		d.Members = rows
+	members := g.table.DigestMembers()
+	if g.digests.Add(1)%fullDigestEvery == 1 || warmingUp(d.From) || warmingUp(to) {
+		d.Members = members
 	} else {
-		for _, m := range rows {
-			d.Alive, d.Beat = append(d.Alive, lifeID(m)), append(d.Beat, uint32(m.Beat))
+		for _, m := range members {
+			d.Alive, d.Beat = append(d.Alive, incarnationID(m)), append(d.Beat, uint32(m.Beat))
 		}
 	}
 	for _, t := range g.topics {
@@ -108,29 +110,30 @@
 	return d
 }
 
-// young reports whether m's life has just begun: it knows few, and few know
-// it.
-func young(m *peerpb.Member) bool { return m == nil || m.Beat <= youngBeats }
+// warmingUp reports whether m has just started, when it knows few members and
+// few know it. A nil m counts as just started.
+func warmingUp(m *peerpb.Member) bool { return m == nil || m.Beat <= warmUpBeats }
 
-// receive merges a peer's digest. News makes a rumour: it is passed on
-// without waiting for the next round.
+// receive merges a peer's digest. A change in it is propagated without waiting
+// for the next round.
 func (g *Gossip) receive(ctx context.Context, d Received) {
 	g.table.Merge(append(d.Members, d.From))
-	g.table.MergeBeats(d.Alive, d.Beat)
-	news := false
+	g.table.MergeHeartbeats(d.Alive, d.Beat)
+	changed := false
 	for _, t := range g.topics {
-		news = t.Merge(ctx, d) || news
+		changed = t.Merge(ctx, d) || changed
 	}
-	if news {
+	if changed {
 		g.Rumour()
 	}
 }
 
-// Rumour asks for an extra round at once.
+// Rumour requests that Run send this entry's digest to several peers at once
+// (Spread).
 func (g *Gossip) Rumour() {
 	select {
-	case g.rumour <- struct{}{}:
-	default: // one is already asked for
+	case g.spreadRequested <- struct{}{}:
+	default: // already requested
 	}
 }
 
@@ -141,11 +144,12 @@
 	return out
 }
 
-// Round starts one exchange with a random peer.
+// Round increments the heartbeat and runs one exchange with a random peer or a
+// seed.
 func (g *Gossip) Round(ctx context.Context) {
 	g.table.Beat()
 	g.round++
-	to := g.pick(1, g.round%foreignEvery == 0)
+	to := g.pick(1, g.round%remoteDomainEvery == 0)
 	if len(to) == 0 || g.round%seedEvery == 0 {
 		g.seedRound(ctx)
 		return
@@ -153,22 +157,24 @@
 	g.exchange(ctx, to[0])
 }
 
-// audience is who hears of news at once, one of them in another domain.
-func (g *Gossip) audience() []*peerpb.Member {
-	return append(g.pick(rumourFanout, false), g.pick(1, true)...)
+// spreadTargets returns the peers that an update is sent to at once, one of
+// them in another domain.
+func (g *Gossip) spreadTargets() []*peerpb.Member {
+	return append(g.pick(spreadFanout, false), g.pick(1, true)...)
 }
 
-// Spread tells a few peers of news.
+// Spread exchanges digests with several peers concurrently.
 func (g *Gossip) Spread(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, to := range g.audience() {
+	for _, to := range g.spreadTargets() {
 		wg.Add(1)
 		go func() { defer wg.Done(); g.exchange(ctx, to) }()
 	}
 	wg.Wait()
 }
 
-// seedRound reaches for a seed: at start, and now and then.
+// seedRound runs one exchange with a random seed: at the start, when no member is
+// known, and every seedEvery rounds.
 func (g *Gossip) seedRound(ctx context.Context) {
 	self := g.table.Self().Address
 	seeds := slices.DeleteFunc(g.seeds(), func(a string) bool { return a == self })
@@ -178,32 +184,33 @@
 	}
 }
 
-// pick returns up to n random live members of this domain, or of others.
-func (g *Gossip) pick(n int, foreign bool) []*peerpb.Member {
-	mine := g.table.Self().Domain
-	var pool []*peerpb.Member
+// pick returns up to n random live members of this domain, or of the other
+// domains if remote is set.
+func (g *Gossip) pick(n int, remote bool) []*peerpb.Member {
+	own := g.table.Self().Domain
+	var candidates []*peerpb.Member
 	for _, m := range g.table.Live() {
-		if (m.Domain != mine) == foreign {
-			pool = append(pool, m)
+		if (m.Domain != own) == remote {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(pool) == 0 && n == 1 { // alone here, or no other domain known
-		pool = g.table.Live()
+	if len(candidates) == 0 && n == 1 { // no other member of this domain, or no other domain, is known
+		candidates = g.table.Live()
 	}
-	shuffle(g.table, pool)
-	return pool[:min(n, len(pool))]
+	shuffle(g.table, candidates)
+	return candidates[:min(n, len(candidates))]
 }
 
 func (g *Gossip) exchange(ctx context.Context, to *peerpb.Member) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeWait)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	asked := g.table.clock.Now()
+	requestedAt := g.table.clock.Now()
 	d, err := g.dial(to.Address).Exchange(ctx, g.Digest(to))
 	if err != nil {
 		g.log.Debug("peers: exchange failed.", "peer", to.Address, "error", err)
 		return
 	}
-	g.receive(ctx, Received{Digest: d, Asked: asked})
+	g.receive(ctx, Received{Digest: d, Asked: requestedAt})
 }
 
 // Run gossips until ctx ends.
@@ -215,7 +222,7 @@
 		select {
 		case <-t.C:
 			g.Round(ctx)
-		case <-g.rumour:
+		case <-g.spreadRequested:
 			g.Spread(ctx)
 		case <-ctx.Done():
 			return
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -16,17 +16,18 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// network joins entries in memory; cut says which pairs cannot talk.
+// network connects entries in memory; partitioned reports whether a message
+// between two of them is lost.
 type network struct {
-	clock *clockwork.FakeClock
-	nodes map[string]*node
-	order []*node // the same each run
-	cut   func(from, to string) bool
-	calls int
-	bytes int
+	clock       *clockwork.FakeClock
+	nodes       map[string]*node
+	order       []*node // in a fixed order, so that runs are reproducible
+	partitioned func(from, to string) bool
+	calls       int
+	bytes       int
 }
 
-// node is one entry whose only knowledge is a revision that rises.
+// node is an entry whose only topic is a configuration revision.
 type node struct {
 	*Gossip
 	table *Table
@@ -53,18 +54,18 @@
 
 func (l link) Exchange(ctx context.Context, d *peerpb.Digest) (*peerpb.Digest, error) {
 	to := l.net.nodes[l.to]
-	if to == nil || to.dead || l.net.cut(l.from, l.to) {
+	if to == nil || to.dead || l.net.partitioned(l.from, l.to) {
 		return nil, errors.New("no answer")
 	}
 	l.net.calls++
-	l.net.bytes += size(d)
+	l.net.bytes += protoSize(d)
 	out := to.Serve(ctx, d)
-	l.net.bytes += size(out)
+	l.net.bytes += protoSize(out)
 	return out, nil
 }
 
 func newNetwork(domains, perDomain int) *network {
-	net := &network{clock: clockwork.NewFakeClock(), nodes: map[string]*node{}, cut: func(string, string) bool { return false }}
+	net := &network{clock: clockwork.NewFakeClock(), nodes: map[string]*node{}, partitioned: func(string, string) bool { return false }}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	seeds := func() []string { return []string{"e-0-0", "e-1-0"} }
 	for d := range domains {
@@ -81,8 +82,8 @@
 	return net
 }
 
-// second is one round of every entry, and what rumours it set off.
-func (n *network) second() {
+// tick runs one round of every entry and then all spreads that it triggers.
+func (n *network) tick() {
 	n.clock.Advance(time.Second)
 	for _, e := range n.order {
 		if !e.dead {
@@ -93,8 +94,8 @@
 		again = false
 		for _, e := range n.order {
 			select {
-			case <-e.rumour:
-				for _, to := range e.audience() { // one by one: the same each run
+			case <-e.spreadRequested:
+				for _, to := range e.spreadTargets() { // sequentially, so that runs are reproducible
 					e.exchange(context.Background(), to)
 				}
 				again = true
@@ -104,7 +105,7 @@
 	}
 }
 
-// behind counts live entries that do not know rev.
+// behind counts live entries whose revision is older than rev.
 func (n *network) behind(rev int64) int {
 	c := 0
 	for _, e := range n.order {
@@ -115,7 +116,7 @@
 	return c
 }
 
-func (n *network) holders(domain int) int {
+func (n *network) watchers(domain int) int {
 	c := 0
 	for _, e := range n.order {
 		if !e.dead && e.table.Self().Domain == fmt.Sprintf("fd-%d", domain) && e.table.Holds("config", 2) {
@@ -127,81 +128,81 @@
 
 func (n *network) run(seconds int) {
 	for range seconds {
-		n.second()
+		n.tick()
 	}
 }
 
-// TestNewsReachesEveryEntry: invariant 10. A change that one entry learns is
-// known to every entry within a few seconds, without the KV.
-func TestNewsReachesEveryEntry(t *testing.T) {
+// TestChangeReachesEveryEntry (invariant 10): a change that one entry learns
+// reaches every entry within a few seconds, without the KV.
+func TestChangeReachesEveryEntry(t *testing.T) {
 	is := is.New(t)
 	net := newNetwork(4, 8)
 	net.run(20)
-	is.Equal(len(net.nodes["e-2-3"].table.ranked("x")), 8) // it knows its domain
+	is.Equal(len(net.nodes["e-2-3"].table.ranked("x")), 8) // it knows all members of its domain
 	net.nodes["e-3-7"].rev = 7
 	net.nodes["e-3-7"].Rumour()
 	net.run(5)
 	is.Equal(net.behind(7), 0)
 }
 
-// TestCutDomainFindsBack: symptom: after a long cut one failure domain stays
-// behind for good. Sequence: a domain is cut off for longer than members are
-// remembered; both sides forget each other; the configuration changes; the
-// cut ends. Cause, if gossip went to known members only: neither side would
-// ever try the other again. Seeds, tried now and then, join them.
-func TestCutDomainFindsBack(t *testing.T) {
+// TestPartitionedDomainRejoins guards against a failure domain that stays on an
+// old revision after a long partition. The partition outlasts evictAfter, so
+// both sides evict each other, and the configuration changes meanwhile. With
+// gossip to known members only, neither side would contact the other again;
+// periodic rounds to seeds reconnect them.
+func TestPartitionedDomainRejoins(t *testing.T) {
 	is := is.New(t)
 	net := newNetwork(3, 4)
 	net.run(15)
-	side := func(name string) bool { return net.nodes[name] != nil && net.nodes[name].table.Self().Domain == "fd-2" }
-	net.cut = func(from, to string) bool { return side(from) != side(to) }
-	net.run(int(forgetAfter/time.Second) + 20)
+	inPartition := func(name string) bool { return net.nodes[name] != nil && net.nodes[name].table.Self().Domain == "fd-2" }
+	net.partitioned = func(from, to string) bool { return inPartition(from) != inPartition(to) }
+	net.run(int(evictAfter/time.Second) + 20)
 	net.nodes["e-0-1"].rev = 9
 	net.nodes["e-0-1"].Rumour()
 	net.run(5)
-	is.Equal(net.behind(9), 4)  // the cut domain
-	is.Equal(net.holders(2), 2) // it still knows itself, and who would watch the KV
-	net.cut = func(string, string) bool { return false }
+	is.Equal(net.behind(9), 4)   // the partitioned domain
+	is.Equal(net.watchers(2), 2) // its members still know each other and who watches the KV
+	net.partitioned = func(string, string) bool { return false }
 	net.run(15)
 	is.Equal(net.behind(9), 0)
 }
 
-// TestDeadHolderIsReplaced: symptom: a domain learns no change any more.
-// Sequence: both entries of a domain that watch the KV are killed. Cause, if
-// their duty were not taken over: nobody of the domain watches.
-func TestDeadHolderIsReplaced(t *testing.T) {
+// TestDeadWatcherIsReplaced guards against a domain that receives no more
+// changes because both of its entries that watch the KV were killed and no
+// other entry takes over.
+func TestDeadWatcherIsReplaced(t *testing.T) {
 	is := is.New(t)
 	net := newNetwork(2, 6)
 	net.run(15)
-	is.Equal(net.holders(0), 2)
+	is.Equal(net.watchers(0), 2)
 	for _, m := range net.nodes["e-0-0"].table.ranked("config")[:2] {
 		net.nodes[m.Instance].dead = true
 	}
-	is.Equal(net.holders(0), 0)
-	net.run(int(suspectAfter/time.Second) + 5)
-	is.Equal(net.holders(0), 2)
-	// A lone survivor watches by itself: more calls, never silence.
+	is.Equal(net.watchers(0), 0)
+	net.run(int(deadAfter/time.Second) + 5)
+	is.Equal(net.watchers(0), 2)
+	// An entry left alone in its domain watches the KV itself.
 	for _, e := range net.order {
 		e.dead = e.table.Self().Instance != "e-0-0" && e.table.Self().Instance != "e-1-0"
 	}
 	net.nodes["e-0-0"].dead = false
-	net.run(int(suspectAfter/time.Second) + 5)
+	net.run(int(deadAfter/time.Second) + 5)
 	is.True(net.nodes["e-0-0"].table.Holds("config", 2))
 }
 
-// TestOldRowsBringNobodyBack: a dead entry does not come
-// back to life because a peer repeats an old row of it.
-func TestOldRowsBringNobodyBack(t *testing.T) {
+// TestStaleRecordDoesNotReviveMember checks that a dead member does not become
+// live again when a peer repeats an old record of it.
+func TestStaleRecordDoesNotReviveMember(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
 	table := NewTable(&peerpb.Member{Instance: "a", Domain: "fd-1"}, fc, rand.NewPCG(1, 1))
-	row := &peerpb.Member{Instance: "b", Domain: "fd-1", Life: 1, Beat: 5}
-	table.Merge([]*peerpb.Member{row})
+	record := &peerpb.Member{Instance: "b", Domain: "fd-1", Life: 1, Beat: 5}
+	table.Merge([]*peerpb.Member{record})
 	is.Equal(len(table.Live()), 1)
-	fc.Advance(suspectAfter + time.Second)
-	table.Merge([]*peerpb.Member{row}) // told again by someone who has not noticed
+	fc.Advance(deadAfter + time.Second)
+	table.Merge([]*peerpb.Member{record}) // repeated by a peer that has not detected the failure
 	is.Equal(len(table.Live()), 0)
 	table.Merge([]*peerpb.Member{{Instance: "b", Domain: "fd-1", Life: 2, Beat: 1}})
-	is.Equal(len(table.Live()), 1) // a new life
+	is.Equal(len(table.Live()), 1) // a new incarnation
 	is.True(!table.Alive("b", 1))
 }
--- a/peers/table.go
+++ b/peers/table.go
@@ -15,26 +15,28 @@
 
 // Bounds of membership.
 const (
-	// suspectAfter is how long a member's beat may stand still before it
-	// counts as dead: several rounds of the slowest rumour in one domain.
-	suspectAfter = 6 * time.Second
-	// forgetAfter is when a dead member is dropped. Longer than suspectAfter
-	// so that a peer's stale digest cannot bring it back as new.
-	forgetAfter = 2 * time.Minute
-	// foreignMembers is how many live members of each other domain an entry
-	// tells about: enough to find a way there, few enough that a digest
-	// grows with the domain and not with the fleet.
-	foreignMembers = 2
+	// deadAfter is how long a member's heartbeat counter may stay unchanged
+	// before the member counts as dead. It covers several rounds of the slowest
+	// propagation within one domain.
+	deadAfter = 6 * time.Second
+	// evictAfter is when a dead member is removed from the table. It is longer
+	// than deadAfter so that a stale digest from a peer cannot add the member
+	// again as a new one.
+	evictAfter = 2 * time.Minute
+	// membersPerRemoteDomain is how many live members of each other failure
+	// domain a digest lists: enough to reach that domain, few enough that the
+	// digest grows with the domain and not with the fleet.
+	membersPerRemoteDomain = 2
 )
 
 type member struct {
 	pb   *peerpb.Member
 	id   uint32
-	seen time.Time // when the beat last rose, on this entry's steady clock
+	seen time.Time // when Beat last increased, on this entry's monotonic clock
 }
 
-// Table is what one entry knows of the others. It is safe for concurrent
-// use; its lock is held only for map work, never across a call.
+// Table is one entry's view of the membership. It is safe for concurrent use;
+// its lock is held only for in-memory work, never across a remote call.
 type Table struct {
 	clock clockwork.Clock
 
@@ -44,8 +46,8 @@
 	members map[string]*member
 }
 
-// NewTable returns a table that knows only self; src decides whom it gossips
-// with.
+// NewTable returns a table that contains only self. src is the random source
+// for choosing gossip peers.
 func NewTable(self *peerpb.Member, clock clockwork.Clock, src rand.Source) *Table {
 	return &Table{clock: clock, rng: rand.New(src), self: self, members: map[string]*member{}}
 }
@@ -57,7 +59,7 @@
 	t.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// Self returns a copy of this entry's own row.
+// Self returns a copy of this entry's own member record.
 func (t *Table) Self() *peerpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,14 +70,14 @@
 	return &peerpb.Member{Instance: m.Instance, Domain: m.Domain, Address: m.Address, Life: m.Life, Beat: m.Beat, Leaving: m.Leaving}
 }
 
-// Beat raises this entry's own beat.
+// Beat increments this entry's heartbeat counter.
 func (t *Table) Beat() {
 	t.mu.Lock()
 	t.self.Beat++
 	t.mu.Unlock()
 }
 
-// Leave marks this entry as leaving, so that peers stop counting on it.
+// Leave marks this entry as leaving, so that peers no longer count it as live.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	t.self.Leaving = true
@@ -83,7 +85,7 @@
 	t.mu.Unlock()
 }
 
-// newer reports whether a is a later word on the same member than b.
+// newer reports whether a is a later record of the same member than b.
 func newer(a, b *peerpb.Member) bool {
 	if a.Life != b.Life {
 		return a.Life > b.Life
@@ -91,33 +93,34 @@
 	return a.Beat > b.Beat
 }
 
-// Merge takes rows from a peer. Only a row with a later life or beat counts
-// as a sign of life.
-func (t *Table) Merge(rows []*peerpb.Member) {
+// Merge adds member records received from a peer. Only a record with a higher
+// incarnation (Life) or heartbeat counter (Beat) is evidence that its member is
+// alive.
+func (t *Table) Merge(records []*peerpb.Member) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range rows {
+	for _, r := range records {
 		if r == nil || r.Instance == "" || r.Instance == t.self.Instance {
 			continue
 		}
 		cur, ok := t.members[r.Instance]
 		if !ok || newer(r, cur.pb) {
-			t.members[r.Instance] = &member{pb: clone(r), id: lifeID(r), seen: now}
+			t.members[r.Instance] = &member{pb: clone(r), id: incarnationID(r), seen: now}
 		}
 	}
 	for name, m := range t.members {
-		if now.Sub(m.seen) > forgetAfter {
+		if now.Sub(m.seen) > evictAfter {
 			delete(t.members, name)
 		}
 	}
 }
 
 func (t *Table) liveLocked(m *member) bool {
-	return !m.pb.Leaving && t.clock.Now().Sub(m.seen) <= suspectAfter
+	return !m.pb.Leaving && t.clock.Now().Sub(m.seen) <= deadAfter
 }
 
-// Live returns the live members other than this entry, by name.
+// Live returns the live members other than this entry, sorted by instance.
 func (t *Table) Live() []*peerpb.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,8 +134,8 @@
 	return out
 }
 
-// Alive reports whether the given life of an instance is still running as
-// far as this entry knows. Unknown instances are not alive.
+// Alive reports whether the given incarnation of an instance is still running
+// as far as this entry knows. Unknown instances are not alive.
 func (t *Table) Alive(instance string, life int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,20 +143,20 @@
 		return life == t.self.Life
 	}
 	m, ok := t.members[instance]
-	return ok && m.pb.Life == life && t.clock.Now().Sub(m.seen) <= suspectAfter
+	return ok && m.pb.Life == life && t.clock.Now().Sub(m.seen) <= deadAfter
 }
 
-// Rows returns the rows to tell a peer: every live member of this entry's
-// own domain, and a few of each other domain.
-func (t *Table) Rows() []*peerpb.Member {
-	mine := t.Self().Domain
+// DigestMembers returns the members to list in a digest: every live member of
+// this entry's own domain, and a few of each other domain.
+func (t *Table) DigestMembers() []*peerpb.Member {
+	own := t.Self().Domain
 	byDomain := map[string]int{}
 	var out []*peerpb.Member
 	live := t.Live()
 	shuffle(t, live)
 	for _, m := range live {
-		if m.Domain != mine {
-			if byDomain[m.Domain] >= foreignMembers {
+		if m.Domain != own {
+			if byDomain[m.Domain] >= membersPerRemoteDomain {
 				continue
 			}
 			byDomain[m.Domain]++
@@ -163,26 +166,28 @@
 	return out
 }
 
-// lifeID names one life of an instance in few bytes. Two lives that share an
-// id would keep each other alive; among the few hundred a domain sees in a
-// minute that is one chance in about a hundred thousand.
-func lifeID(m *peerpb.Member) uint32 {
+// incarnationID is a 32-bit hash that identifies one incarnation of an
+// instance. Two incarnations with the same id would keep each other alive;
+// among the few hundred that a domain sees in a minute the chance of that is
+// about one in a hundred thousand.
+func incarnationID(m *peerpb.Member) uint32 {
 	return uint32(rank(m.Instance, strconv.FormatInt(m.Life, 36)))
 }
 
-// MergeBeats takes the beats of members whose rows this entry already has.
-func (t *Table) MergeBeats(ids []uint32, beats []uint32) {
-	told := make(map[uint32]int64, len(ids))
+// MergeHeartbeats applies the heartbeat counters that a peer sent, by
+// incarnation id, to the members that this entry already has records of.
+func (t *Table) MergeHeartbeats(ids []uint32, beats []uint32) {
+	beatByID := make(map[uint32]int64, len(ids))
 	for i, id := range ids {
 		if i < len(beats) {
-			told[id] = int64(beats[i])
+			beatByID[id] = int64(beats[i])
 		}
 	}
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.members {
-		if beat, ok := told[m.id]; ok && beat > m.pb.Beat {
+		if beat, ok := beatByID[m.id]; ok && beat > m.pb.Beat {
 			m.pb.Beat, m.seen = beat, now
 		}
 	}
@@ -214,7 +219,8 @@
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(instance))
 	x := h.Sum64()
-	// The splitmix64 finalizer: FNV of near-equal names is not even enough.
+	// The splitmix64 finalizer: FNV alone does not spread near-equal names
+	// evenly enough.
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -223,17 +229,18 @@
 }
 
 // Holds reports whether this entry is among the first n live members of its
-// domain for subject. It needs no agreement: when views differ, more than n
-// entries hold it, or for at most suspectAfter (a holder died) fewer.
+// domain in rendezvous order for subject. It needs no consensus: when views
+// differ, more than n entries may hold the subject, and after a holder dies
+// fewer do for at most deadAfter.
 func (t *Table) Holds(subject string, n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	mine := rank(subject, t.self.Instance)
+	own := rank(subject, t.self.Instance)
 	for name, m := range t.members {
 		if m.pb.Domain != t.self.Domain || !t.liveLocked(m) {
 			continue
 		}
-		if r := rank(subject, name); r > mine || r == mine && name < t.self.Instance {
+		if r := rank(subject, name); r > own || r == own && name < t.self.Instance {
 			if n--; n <= 0 {
 				return false
 			}
@@ -242,13 +249,14 @@
 	return true
 }
 
-// FirstOther returns a func that gives the first live member of this
-// entry's domain for subject other than itself, or nil when it is alone.
+// FirstOther returns a function that returns the first live member of this
+// entry's domain in rendezvous order for subject, excluding this entry, or nil
+// if there is no other.
 func (t *Table) FirstOther(subject string) func() *peerpb.Member {
 	return func() *peerpb.Member {
-		me := t.Self().Instance
+		self := t.Self().Instance
 		for _, m := range t.ranked(subject) {
-			if m.Instance != me {
+			if m.Instance != self {
 				return m
 			}
 		}
