--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/lovageweir/lovageweir/internal/synth"
 )
 
-// BenchmarkEnvelopeBytes varies one dimension at a time so the stored size
-// per back end and per customer can be read off separately (doc-bytes).
+// BenchmarkEnvelopeBytes varies one dimension at a time to show the stored size
+// per back end and per customer separately (doc-bytes).
 func BenchmarkEnvelopeBytes(b *testing.B) {
 	base := synth.Size{Customers: 10, Models: 9, VersionsPerModel: 2, Backends: 10, Domains: 13}
 	cases := []struct {
--- a/config/delta.go
+++ b/config/delta.go
@@ -7,20 +7,21 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// zstdMagic starts a compressed envelope; plain JSON starts with a brace.
+// zstdMagic is the prefix of a compressed envelope; uncompressed JSON starts
+// with a brace.
 var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 
 const (
-	// maxPlain bounds an envelope when uncompressed, so that a damaged or
-	// hostile value cannot fill an entry's memory.
-	maxPlain = 32 << 20
-	// deltaWindow lets a delta refer to any place of an envelope up to that
-	// size; a larger one still gives a right delta, only a longer one.
+	// maxUncompressed limits the uncompressed size of an envelope, so that a
+	// corrupt or malicious value cannot exhaust an entry's memory.
+	maxUncompressed = 32 << 20
+	// deltaWindow lets a delta refer to any offset of an envelope up to this
+	// size. A delta of a larger envelope is still correct, but longer.
 	deltaWindow = 4 << 20
 	dictID      = 1
 )
 
-// Compress returns plain as stored in the KV.
+// Compress returns plain in the compressed form stored in the KV.
 func Compress(plain []byte) ([]byte, error) {
 	return encode(plain, zstd.WithEncoderLevel(zstd.SpeedFastest))
 }
@@ -33,14 +34,15 @@
 	return decode(stored)
 }
 
-// Delta returns what turns the JSON old into next: a few hundred bytes for a
-// usual change, where the whole is a hundred thousand.
+// Delta returns a delta from the JSON old to next: a few hundred bytes for a
+// typical change, where the whole document is a hundred thousand.
 func Delta(old, next []byte) ([]byte, error) {
 	return encode(next, zstd.WithEncoderDictRaw(dictID, old), zstd.WithWindowSize(deltaWindow))
 }
 
-// Patch applies a Delta to the same old. Applied to anything else it fails:
-// a delta carries a checksum of its result.
+// Patch applies a delta to the document old that it was made from. Applied to any
+// other document it fails rather than return a wrong result, because a delta
+// carries a checksum of its result.
 func Patch(old, delta []byte) ([]byte, error) {
 	return decode(delta, zstd.WithDecoderDictRaw(dictID, old))
 }
@@ -55,7 +57,7 @@
 }
 
 func decode(b []byte, opts ...zstd.DOption) ([]byte, error) {
-	d, err := zstd.NewReader(nil, append(opts, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPlain))...)
+	d, err := zstd.NewReader(nil, append(opts, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUncompressed))...)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/config/delta_test.go
+++ b/config/delta_test.go
@@ -12,9 +12,9 @@
 	"github.com/lovageweir/lovageweir/internal/synth"
 )
 
-// TestPropertyPatchIsExact: invariant 10 between peers. A delta applied to
-// what it was made from gives exactly the new configuration; applied to
-// anything else it fails rather than give a wrong one.
+// TestPropertyPatchIsExact (invariant 10 between peers): a delta applied to the
+// document it was made from gives exactly the new configuration; applied to
+// any other it fails or gives that same result, never a wrong one.
 func TestPropertyPatchIsExact(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plain := func(label string) []byte {
@@ -41,7 +41,8 @@
 	})
 }
 
-// TestDeltaIsSmall: at the target size a changed price costs under 1 KB.
+// TestDeltaIsSmall checks that the delta for one changed price is under 1 KB at
+// the target size.
 func TestDeltaIsSmall(t *testing.T) {
 	is := is.New(t)
 	doc := synth.Document(synth.Target)
--- a/config/load.go
+++ b/config/load.go
@@ -12,8 +12,8 @@
 )
 
 // Load reads every *.yaml and *.yml file in dir, merges them in name order
-// and decodes the result strictly: an unknown field is a finding, not a
-// silent default. Decode problems come back as Findings.
+// and decodes the result strictly: an unknown field is a finding rather than
+// ignored. Decoding errors are returned as Findings.
 func Load(dir string) (*Document, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.y*ml"))
 	if err != nil {
@@ -43,7 +43,8 @@
 	return decodeStrict(merged)
 }
 
-// LoadValid is Load and Validate; problems of either come back as Findings.
+// LoadValid loads and validates the configuration in dir; decoding and
+// validation errors are returned as Findings.
 func LoadValid(dir string) (*Document, error) {
 	doc, err := Load(dir)
 	if err != nil {
--- a/config/types.go
+++ b/config/types.go
@@ -1,7 +1,8 @@
 package config
 
-// Version states. A withdrawn version receives no new work; its sessions get
-// a truthful refusal rather than a silent switch.
+// Version states. A withdrawn version receives no new work; requests of its
+// sessions are refused explicitly rather than silently served by another
+// version.
 const (
 	StateActive    = "active"
 	StateWithdrawn = "withdrawn"
@@ -16,7 +17,7 @@
 // AnyVersion in a customer's allow list admits every version of the model.
 const AnyVersion = "*"
 
-// Document is one whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Customers map[string]Customer `yaml:"customers" json:"customers"`
 	Models    map[string]Model    `yaml:"models" json:"models"`
@@ -30,7 +31,8 @@
 	// Allow maps a model (or cascade) name to the versions the customer may
 	// use; AnyVersion admits all.
 	Allow map[string][]string `yaml:"allow" json:"allow"`
-	// Priority orders shedding: higher is shed later (see route.Reserve).
+	// Priority orders load shedding: requests of customers with a higher
+	// priority are shed later (see route.Reserve).
 	Priority int `yaml:"priority" json:"priority"`
 }
 
@@ -46,15 +48,15 @@
 type Version struct {
 	State  string `yaml:"state" json:"state"`
 	Weight int    `yaml:"weight" json:"weight"`
-	// Attempt tells one try at rolling the version out from the next: a
-	// halt holds for one attempt.
+	// Attempt numbers the attempts to roll the version out; a halt applies to
+	// one attempt only.
 	Attempt int `yaml:"attempt" json:"attempt,omitempty"`
-	// Guard watches the version's answers; nil: it is not watched.
+	// Guard evaluates the version's answers; nil disables the evaluation.
 	Guard *Guard `yaml:"guard" json:"guard,omitempty"`
 }
 
-// Guard halts a version that answers badly: it then gets no new work, and
-// its weight goes to Baseline.
+// Guard halts a version whose answers score badly: the version then gets no new
+// work, and its weight goes to Baseline.
 type Guard struct {
 	// Baseline is the version that takes over.
 	Baseline string `yaml:"baseline" json:"baseline"`
@@ -65,10 +67,11 @@
 // Cascade tries models from cheap to costly until an answer is good enough.
 type Cascade struct {
 	Steps []Step `yaml:"steps" json:"steps"`
-	// SkipBelow is the share of answers of a size that must pass a step for
-	// the step to be worth trying on that size. Zero: the cost ratio of the
-	// step to the next, below which trying costs more than it saves. An
-	// operator who weighs latency above cost sets it higher.
+	// SkipBelow is the pass rate of a step for a prompt size below which the
+	// step is skipped for that size, except for occasional probes. Zero selects
+	// the cost ratio of the step to the next, below which trying the step costs
+	// more than it saves. An operator who values latency above cost sets it
+	// higher.
 	SkipBelow float64 `yaml:"skip_below" json:"skip_below,omitempty"`
 }
 
@@ -86,8 +89,8 @@
 	Domain  string `yaml:"domain" json:"domain"`
 	Model   string `yaml:"model" json:"model"`
 	Version string `yaml:"version" json:"version"`
-	// Capacity is how many requests it takes at once; 0: not known, and then
-	// nothing is shed before it refuses.
+	// Capacity is how many requests it handles concurrently. Zero means
+	// unknown: no load is shed before the back end refuses a request.
 	Capacity int `yaml:"capacity" json:"capacity,omitempty"`
 	// Idempotent says whether a call may be repeated. Calls to a
 	// non-idempotent service are never retried after dispatch.
--- a/config/validate.go
+++ b/config/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Finding is one problem with its place: the file (for decode problems) or
+// Finding is one problem with its location: the file (for decoding errors) or
 // the path in the merged document.
 type Finding struct {
 	File    string `json:"file,omitempty"`
