--- a/configwatch/bench_test.go
+++ b/configwatch/bench_test.go
@@ -20,9 +20,10 @@
 	synth.Target,
 }
 
-// BenchmarkOffer is what one configuration change costs an entry: decode
-// the stored envelope, validate it, compile the table and swap it in.
-// doc-bytes is the stored value each entry receives per change.
+// BenchmarkOffer measures what one configuration change costs an entry: it
+// decodes the stored envelope, validates it, compiles the table and makes it
+// current. doc-bytes is the size of the stored value, which each entry receives
+// per change.
 func BenchmarkOffer(b *testing.B) {
 	for _, s := range benchSizes {
 		env := config.Envelope{ApplyID: "bench", AppliedAt: time.Unix(0, 0), Document: *synth.Document(s)}
@@ -35,7 +36,7 @@
 			w := New(nil, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for i := 0; i < b.N; i++ {
 				if !w.Offer(kv.Revision(i+1), raw) {
-					b.Fatal("offer refused")
+					b.Fatal("Offer rejected a newer valid configuration")
 				}
 			}
 			b.ReportMetric(float64(len(raw)), "doc-bytes")
--- a/configwatch/doc.go
+++ b/configwatch/doc.go
@@ -1,10 +1,10 @@
-// Package configwatch keeps an entry's configuration current: it watches the
-// live keys of the platform KV, or learns from peers that do, and swaps in a
-// whole compiled route.Table only when its revision is newer than the one in
-// force. Revisions never go back, so a late or repeated answer, from the KV
-// or a peer, cannot revert an accepted configuration. While the KV is down
-// the last good table stays in force.
+// Package configwatch keeps an entry's configuration up to date: it watches the
+// live keys of the platform KV, or receives changes from peers that do, and
+// replaces the compiled route.Table atomically and only by a newer revision.
+// Revisions never decrease, so a late or repeated response from the KV or a
+// peer cannot revert an accepted configuration. While the KV is down the last
+// valid table stays in use.
 //
-// It also knows how long ago the table was known to be current (Age), which
-// is how an entry notices that it was paused or cut off (Refresh).
+// It also tracks how long ago the table was confirmed to be current (Age), by
+// which an entry detects that it was paused or partitioned (Refresh).
 package configwatch
--- a/configwatch/faults_test.go
+++ b/configwatch/faults_test.go
@@ -20,13 +20,13 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// guardWait only stops a broken test from hanging.
-const guardWait = 10 * time.Second
+// testTimeout keeps a failing test from hanging.
+const testTimeout = 10 * time.Second
 
-// put stores a configuration with n customers and returns its revision.
-func put(t *testing.T, c kv.KV, n int) kv.Revision {
+// putConfig stores a configuration with n customers and returns its revision.
+func putConfig(t *testing.T, c kv.KV, n int) kv.Revision {
 	t.Helper()
 	env := config.Envelope{ApplyID: "a", Document: *synth.Document(synth.Size{Customers: n, Models: 1, VersionsPerModel: 1, Backends: 1, Domains: 1})}
 	b, err := env.Marshal()
@@ -40,18 +40,18 @@
 	return rev
 }
 
-// silentWatch is a KV whose watches deliver nothing and whose calls can be
-// refused.
-type silentWatch struct {
+// silentWatchStore is a KV whose watches deliver no events and whose List calls
+// can be made to fail.
+type silentWatchStore struct {
 	*memkv.Store
-	clock  clockwork.Clock
-	down   atomic.Bool
-	reads  atomic.Int64  // of revisions
-	values atomic.Int64  // of values
-	waited chan struct{} // one per watch that began
+	clock        clockwork.Clock
+	down         atomic.Bool
+	reads        atomic.Int64  // calls of List
+	values       atomic.Int64  // calls of Get
+	watchStarted chan struct{} // receives one value per started watch
 }
 
-func (s *silentWatch) List(ctx context.Context, prefix string) (kv.Revision, []kv.KeyValue, error) {
+func (s *silentWatchStore) List(ctx context.Context, prefix string) (kv.Revision, []kv.KeyValue, error) {
 	s.reads.Add(1)
 	if s.down.Load() {
 		return 0, nil, kv.ErrUnavailable
@@ -59,15 +59,15 @@
 	return s.Store.List(ctx, prefix)
 }
 
-func (s *silentWatch) Get(ctx context.Context, key string, prefix bool) (kv.Revision, []kv.KeyValue, error) {
+func (s *silentWatchStore) Get(ctx context.Context, key string, prefix bool) (kv.Revision, []kv.KeyValue, error) {
 	s.values.Add(1)
 	return s.Store.Get(ctx, key, prefix)
 }
 
-func (s *silentWatch) WatchOnce(ctx context.Context, _ string, _ bool, after kv.Revision, wait time.Duration) (kv.Revision, []kv.Event, error) {
+func (s *silentWatchStore) WatchOnce(ctx context.Context, _ string, _ bool, after kv.Revision, wait time.Duration) (kv.Revision, []kv.Event, error) {
 	t := s.clock.NewTimer(wait)
 	defer t.Stop()
-	s.waited <- struct{}{}
+	s.watchStarted <- struct{}{}
 	select {
 	case <-t.Chan():
 		return after, nil, nil
@@ -76,79 +76,74 @@
 	}
 }
 
-func newSilentWatch(fc clockwork.Clock) *silentWatch {
-	return &silentWatch{Store: memkv.New(fc), clock: fc, waited: make(chan struct{})}
+func newSilentWatchStore(fc clockwork.Clock) *silentWatchStore {
+	return &silentWatchStore{Store: memkv.New(fc), clock: fc, watchStarted: make(chan struct{})}
 }
 
-func next(t *testing.T, ch <-chan struct{}) {
+func awaitWatch(t *testing.T, ch <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-ch:
-	case <-time.After(guardWait):
-		t.Fatal("the watcher never watched again")
+	case <-time.After(testTimeout):
+		t.Fatal("the watcher did not start a watch")
 	}
 }
 
-// TestSilentWatchIsNoticed: invariant 10. Symptom: one entry serves an old
-// configuration for good while the others moved on. Sequence: its watch's
-// connection goes silent; the configuration changes. Cause, if a watch that
-// brings nothing were taken as no change: nothing ever tells the entry.
-// Here a watch that ends without events is followed by a read. An empty
-// store, too, must be read once a watch and not in a busy loop.
-func TestSilentWatchIsNoticed(t *testing.T) {
+// TestSilentWatchFallsBackToRead (invariant 10) guards against an entry that
+// keeps an old configuration because its watch's connection stalled before a
+// change. A watch that ends without events must be followed by a read. An empty
+// store, too, must be read once per watch and not in a busy loop.
+func TestSilentWatchFallsBackToRead(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
-	s := newSilentWatch(fc)
-	w := New(s, fc, quiet)
+	s := newSilentWatchStore(fc)
+	w := New(s, fc, discardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
-	next(t, s.waited)
+	awaitWatch(t, s.watchStarted)
 	is.Equal(s.reads.Load(), int64(1)) // the store is empty; one read, then a watch
-	rev := put(t, s, 1)
-	fc.Advance(watchWait)
-	next(t, s.waited) // the next watch begins after the read
+	rev := putConfig(t, s, 1)
+	fc.Advance(watchTimeout)
+	awaitWatch(t, s.watchStarted) // the next watch begins after the read
 	is.Equal(w.Revision(), rev)
 	is.Equal(s.reads.Load(), int64(2))
 	cancel()
 	<-done
 }
 
-// TestPausedEntryAsksBeforeItServes: invariant 2. Symptom: work reaches a
-// withdrawn version minutes after the withdrawal. Sequence: an entry is
-// paused, the version is withdrawn, the entry resumes and a request is
-// admitted before its watch has caught up. Cause, if the table in force were
-// simply used: it is the one of before the pause. Here a request finds the
-// table's knowledge too old and reads first.
-func TestPausedEntryAsksBeforeItServes(t *testing.T) {
+// TestResumedEntryRefreshesBeforeServing (invariant 2) guards against work that
+// reaches a withdrawn version minutes after the withdrawal. An entry is paused,
+// the version is withdrawn, the entry resumes and admits a request before its
+// watch has caught up. The request must find the table too old and read first.
+func TestResumedEntryRefreshesBeforeServing(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	fc := clockwork.NewFakeClock()
-	s := newSilentWatch(fc)
-	old := put(t, s, 1)
-	w := New(s, fc, quiet)
+	s := newSilentWatchStore(fc)
+	old := putConfig(t, s, 1)
+	w := New(s, fc, discardLog)
 	w.Refresh(ctx)
 	is.Equal(w.Revision(), old)
-	newer := put(t, s, 2)
-	fc.Advance(FreshFor)
+	newer := putConfig(t, s, 2)
+	fc.Advance(MaxStaleness)
 	w.Refresh(ctx)
-	is.Equal(w.Revision(), old) // still fresh enough: no call on the data path
+	is.Equal(w.Revision(), old) // not older than MaxStaleness: no call on the data path
 	is.Equal(s.reads.Load(), int64(1))
-	fc.Advance(time.Minute) // paused; the clock goes on
+	fc.Advance(time.Minute) // the entry is paused while time passes
 	w.Refresh(ctx)
 	is.Equal(w.Revision(), newer)
 }
 
-// TestOutageCostsOneRequestASecond: symptom: every request is slowed by a
-// KV that does not answer. Sequence: the KV goes down for long; requests
-// keep coming. Cause, if each asked again: each would wait for it.
-func TestOutageCostsOneRequestASecond(t *testing.T) {
+// TestRefreshIsRateLimitedDuringOutage guards against a long KV outage that
+// delays every request, which happens if each request waits for its own read.
+func TestRefreshIsRateLimitedDuringOutage(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	fc := clockwork.NewFakeClock()
-	s := newSilentWatch(fc)
-	put(t, s, 1)
-	w := New(s, fc, quiet)
+	s := newSilentWatchStore(fc)
+	putConfig(t, s, 1)
+	w := New(s, fc, discardLog)
 	w.Refresh(ctx)
 	s.down.Store(true)
 	fc.Advance(time.Hour)
@@ -156,44 +151,44 @@
 		w.Refresh(ctx)
 	}
 	is.Equal(s.reads.Load(), int64(2))
-	is.Equal(s.values.Load(), int64(1)) // the document is read when it changed
-	is.True(w.Table() != nil)           // and the configuration stays in force
+	is.Equal(s.values.Load(), int64(1)) // the document is read only when it has changed
+	is.True(w.Table() != nil)           // the configuration stays in use
 }
 
-// peerOf serves Config from another watcher.
-type peerOf struct {
+// peerStub is a peer that serves Config from a watcher.
+type peerStub struct {
 	peerpb.Peer
 	w      *Watcher
 	down   bool
-	deltas int // answers that were a delta
+	deltas int // responses with a delta
 }
 
-func (p *peerOf) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
+func (p *peerStub) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
 	if p.down {
-		return nil, errors.New("cut off")
+		return nil, errors.New("peer unreachable")
 	}
 	rev, delta, stored := p.w.Since(kv.Revision(r.Have))
 	p.deltas += min(len(delta), 1)
 	return &peerpb.ConfigResponse{Revision: int64(rev), Delta: delta, Document: stored}, nil
 }
 
-// TestPeersPassOnAChange: invariant 10. Symptom: an entry that is cut off
-// from the KV, or whose watch is broken, stays behind although its peers are
-// up to date. Sequence: the configuration changes, one entry learns it from
-// the KV, the other only hears its digest; the first try to fetch it fails.
-// Also: what a peer knew to be current counts only when this entry asked for
-// it, since an unasked digest may have waited out a pause in a socket.
-func TestPeersPassOnAChange(t *testing.T) {
+// TestTopicPullsNewerRevisionFromPeer (invariant 10) guards against an entry
+// that has no connection to the KV, or a broken watch, and stays on an old
+// revision although its peers are up to date. One entry reads a change from the
+// KV; the other receives only its digest, and its first pull fails.
+// A peer's confirmation counts only if this entry requested the digest, because
+// an unrequested one may have waited in a socket buffer during a pause.
+func TestTopicPullsNewerRevisionFromPeer(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	fc := clockwork.NewFakeClock()
-	s := newSilentWatch(fc)
-	rev := put(t, s, 3)
-	a, b := New(s, fc, quiet), New(s, fc, quiet)
-	news := 0
-	b.OnNews(func() { news++ })
+	s := newSilentWatchStore(fc)
+	rev := putConfig(t, s, 3)
+	a, b := New(s, fc, discardLog), New(s, fc, discardLog)
+	changes := 0
+	b.OnNews(func() { changes++ })
 	a.Refresh(ctx)
-	peer := &peerOf{w: a, down: true}
+	peer := &peerStub{w: a, down: true}
 	to := NewTopic(b, func(string) peerpb.Peer { return peer })
 	d := &peerpb.Digest{From: &peerpb.Member{Address: "a"}}
 	NewTopic(a, nil).Fill(d, true)
@@ -202,35 +197,35 @@
 	peer.down = false
 	to.Merge(ctx, peers.Received{Digest: d})
 	is.Equal(b.Revision(), rev)
-	is.Equal(news, 1) // and it passes the news on
+	is.Equal(changes, 1) // it announces the change
 	_, ok := b.Age()
 	is.True(!ok)
 	to.Merge(ctx, peers.Received{Digest: d, Asked: fc.Now()})
 	age, ok := b.Age()
 	is.True(ok && age == 0)
 
-	// The next change comes as a delta; one to an entry too far behind whole.
-	tell := func(to *Topic) {
+	// Later changes arrive as deltas; an entry too far behind gets the whole document.
+	sendDigest := func(to *Topic) {
 		d := &peerpb.Digest{From: &peerpb.Member{Address: "a"}}
 		NewTopic(a, nil).Fill(d, true)
 		to.Merge(ctx, peers.Received{Digest: d})
 	}
 	for range 3 {
-		rev = put(t, s, 4)
-		fc.Advance(FreshFor + time.Second)
+		rev = putConfig(t, s, 4)
+		fc.Advance(MaxStaleness + time.Second)
 		a.Refresh(ctx)
-		tell(to)
+		sendDigest(to)
 		is.Equal(b.Revision(), rev)
 	}
 	is.Equal(peer.deltas, 3)
-	late := New(s, fc, quiet)
-	late.Offer(1, mustStored(t, s))
-	tell(NewTopic(late, func(string) peerpb.Peer { return peer }))
-	is.Equal(late.Revision(), rev)
+	outdated := New(s, fc, discardLog)
+	outdated.Offer(1, storedConfig(t, s))
+	sendDigest(NewTopic(outdated, func(string) peerpb.Peer { return peer }))
+	is.Equal(outdated.Revision(), rev)
 	is.Equal(peer.deltas, 3)
 }
 
-func mustStored(t *testing.T, c kv.KV) []byte {
+func storedConfig(t *testing.T, c kv.KV) []byte {
 	t.Helper()
 	_, kvs, err := c.Get(context.Background(), config.Key, false)
 	if err != nil {
--- a/configwatch/fuzz_test.go
+++ b/configwatch/fuzz_test.go
@@ -13,9 +13,9 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// FuzzOffer: whatever bytes arrive as a stored configuration (a corrupt
-// KV value, a peer's answer), an entry must not crash, and a table it puts
-// in force must come from a document that validates.
+// FuzzOffer checks that no bytes offered as a stored configuration (a corrupt KV
+// value or peer response) crash an entry, and that a table becomes current only
+// from a valid document.
 func FuzzOffer(f *testing.F) {
 	env := config.Envelope{ApplyID: "seed", AppliedAt: time.Unix(0, 0), Document: *synth.Document(synth.Size{Customers: 2, Models: 2, VersionsPerModel: 2, Backends: 3, Domains: 2})}
 	seed, err := env.Marshal()
@@ -31,12 +31,12 @@
 		w := New(nil, clockwork.NewFakeClock(), log)
 		if !w.Offer(kv.Revision(1), value) {
 			if w.Table() != nil {
-				t.Fatal("a refused value left a table in force")
+				t.Fatal("a rejected value became the current table")
 			}
 			return
 		}
 		if fs := config.Validate(w.Table().Document()); len(fs) > 0 {
-			t.Fatalf("an invalid document was put in force: %v", fs)
+			t.Fatalf("an invalid document became current: %v", fs)
 		}
 	})
 }
--- a/configwatch/topic.go
+++ b/configwatch/topic.go
@@ -10,40 +10,42 @@
 	"github.com/lovageweir/lovageweir/rpc/peerpb"
 )
 
-// pullWait bounds handing over a whole configuration between peers.
-const pullWait = 3 * time.Second
+// pullTimeout bounds fetching a configuration from a peer.
+const pullTimeout = 3 * time.Second
 
-// Topic spreads the configuration between entries: a digest carries only the
-// revision and its age; who is behind pulls the document.
+// Topic propagates the configuration between entries: a digest carries only the
+// revision and its age; an entry with an older revision pulls the document.
 type Topic struct {
-	w       *Watcher
-	dial    peers.Dial
-	pulling sync.Mutex // one pull at a time: rumours come from several peers
+	w      *Watcher
+	dial   peers.Dial
+	pullMu sync.Mutex // one pull at a time, as several peers may announce the same change
 }
 
 // NewTopic returns the gossip topic of w.
 func NewTopic(w *Watcher, dial peers.Dial) *Topic { return &Topic{w: w, dial: dial} }
 
-// never stands for "not known to be current" in a digest.
-const never = -1
+// ageUnknown is the age in a digest of an entry that has never confirmed its
+// revision to be current.
+const ageUnknown = -1
 
 // Fill implements peers.Topic.
 func (t *Topic) Fill(d *peerpb.Digest, _ bool) {
-	d.ConfigRevision, d.ConfigAgeMs = int64(t.w.Revision()), never
+	d.ConfigRevision, d.ConfigAgeMs = int64(t.w.Revision()), ageUnknown
 	if age, ok := t.w.Age(); ok {
 		d.ConfigAgeMs = age.Milliseconds()
 	}
 }
 
-// Merge implements peers.Topic. The watcher itself reports news when a
-// pulled revision comes into force, so Merge reports none.
+// Merge implements peers.Topic. It always returns false, because the watcher
+// itself announces a pulled revision (Watcher.OnNews).
 func (t *Topic) Merge(ctx context.Context, d peers.Received) bool {
 	have := int64(t.w.Revision())
 	if d.ConfigRevision > have && d.From != nil {
 		t.pull(ctx, d.From.Address, have)
 	}
-	// The peer knew its revision to be current that long before it answered;
-	// ours is at least as new, so the same holds for ours.
+	// The peer's revision was confirmed to be current ConfigAgeMs before the
+	// peer responded. Ours is at least as new, so it was current then too. The
+	// time of the request is a lower bound for the time of the response.
 	if !d.Asked.IsZero() && d.ConfigAgeMs >= 0 && int64(t.w.Revision()) >= d.ConfigRevision {
 		t.w.confirm(d.Asked.Add(-time.Duration(d.ConfigAgeMs) * time.Millisecond))
 	}
@@ -51,12 +53,13 @@
 }
 
 func (t *Topic) pull(ctx context.Context, address string, have int64) {
-	if !t.pulling.TryLock() {
+	if !t.pullMu.TryLock() {
 		return
 	}
-	defer t.pulling.Unlock()
-	// The exchange's own deadline is for digests; a document may take longer.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), pullWait)
+	defer t.pullMu.Unlock()
+	// The deadline of the exchange is meant for digests; a document may take
+	// longer.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), pullTimeout)
 	defer cancel()
 	r, err := t.dial(address).Config(ctx, &peerpb.ConfigRequest{Have: have})
 	if err != nil {
--- a/configwatch/watcher.go
+++ b/configwatch/watcher.go
@@ -19,95 +19,97 @@
 
 // Bounds of the watch.
 const (
-	// watchWait is how long one watch waits before the key is read instead.
-	// A watch whose connection went silent looks just like a quiet one, so
-	// without the read an entry could miss a change for good; with it, the
-	// change is late by at most this long.
-	watchWait = 5 * time.Second
-	// readWait bounds one read.
-	readWait = 3 * time.Second
-	// idleCheck is how often an entry that does not watch looks whether it
-	// should (a holder of its domain died).
-	idleCheck = time.Second
-	// FreshFor is how old an entry's knowledge of being current may be
-	// before a request makes it ask again (Refresh): the time within which
-	// the users want a change in force. It covers one watchWait and the
-	// gossip rounds that carry its answer.
-	FreshFor = 11 * time.Second
-	// refreshWait bounds what that asking may cost the request.
-	refreshWait = 300 * time.Millisecond
-	// refreshEvery limits it during an outage to one request in this time.
-	refreshEvery = time.Second
+	// watchTimeout is how long one watch waits before the key is read instead.
+	// A watch on a stalled connection cannot be distinguished from one without
+	// changes, so without the read an entry could miss a change permanently.
+	// The read limits the delay to this time.
+	watchTimeout = 5 * time.Second
+	// readTimeout bounds one read.
+	readTimeout = 3 * time.Second
+	// standbyCheckInterval is how often an entry that does not watch checks
+	// whether it should, because a watching entry of its domain died.
+	standbyCheckInterval = time.Second
+	// MaxStaleness is the time since the table was last confirmed to be current
+	// after which a request triggers a read (Refresh): the time within which
+	// users want a change to take effect. It covers one watchTimeout and the
+	// gossip rounds that propagate the result.
+	MaxStaleness = 11 * time.Second
+	// refreshTimeout bounds how long that read may delay the request.
+	refreshTimeout = 300 * time.Millisecond
+	// refreshInterval limits these reads during an outage of the KV to one per
+	// interval, so that not every request is delayed.
+	refreshInterval = time.Second
 )
 
-// Watcher owns the table in force.
+// Watcher owns the current route.Table.
 type Watcher struct {
-	kv    kv.Client
-	clock clockwork.Clock
-	log   *slog.Logger
-	holds func() bool      // whether this entry should watch the KV itself
-	news  func()           // called after a new revision came into force
-	other func(key string) // called for other live keys that exist
+	kv          kv.Client
+	clock       clockwork.Clock
+	log         *slog.Logger
+	shouldWatch func() bool      // whether this entry should watch the KV itself
+	onChange    func()           // called after a new revision took effect
+	onKey       func(key string) // called for each other live key that is read or written
 
-	current  atomic.Pointer[inForce]
+	current  atomic.Pointer[snapshot]
 	rejected atomic.Int64
 	kvErrors atomic.Int64
 	watching atomic.Bool
 
-	// offering lets one revision be decoded at a time: several peers tell of
-	// a change at once, and each decoding costs ten times the stored bytes in
-	// garbage.
-	offering sync.Mutex
+	// offerMu serializes decoding: several peers announce a change at once, and
+	// each decoding allocates ten times the stored size in garbage.
+	offerMu sync.Mutex
 
 	mu          sync.Mutex // guards the two times; never held across a call
-	freshAt     time.Time  // when the table in force was last known current
-	refreshedAt time.Time  // when Refresh last asked
+	confirmedAt time.Time  // when the current table was last confirmed to be up to date
+	refreshedAt time.Time  // when Refresh last read
 }
 
-// inForce is one configuration revision, compiled, as stored and as JSON.
-type inForce struct {
-	table  *route.Table
-	stored []byte
-	plain  []byte
-	before []old // the revisions before it, newest first, for deltas
+// snapshot is one configuration revision: compiled, as stored and as JSON.
+type snapshot struct {
+	table    *route.Table
+	stored   []byte
+	plain    []byte
+	previous []previousRevision // earlier revisions to make deltas from, newest first
 }
 
-// old is the JSON of a revision no longer in force.
-type old struct {
+// previousRevision is the JSON of a replaced revision.
+type previousRevision struct {
 	rev   kv.Revision
 	plain []byte
 }
 
-// keepOld is how many old revisions deltas are made from: peers are rarely
-// further behind, and each costs the size of the JSON.
-const keepOld = 2
+// maxPrevious is how many earlier revisions are kept to make deltas from: peers
+// are rarely further behind, and each costs memory of the size of its JSON.
+const maxPrevious = 2
 
-// Option changes a new Watcher.
+// Option configures a new Watcher.
 type Option func(*Watcher)
 
-// HoldsWhen makes the watcher watch the KV only while holds reports true;
-// it then learns from peers (Offer).
-func HoldsWhen(holds func() bool) Option { return func(w *Watcher) { w.holds = holds } }
+// HoldsWhen makes the watcher watch the KV only while shouldWatch returns true.
+// Otherwise it relies on revisions from peers (Offer, OfferDelta).
+func HoldsWhen(shouldWatch func() bool) Option {
+	return func(w *Watcher) { w.shouldWatch = shouldWatch }
+}
 
-// New returns a watcher with no table in force, which watches the KV always
-// unless HoldsWhen says otherwise.
+// New returns a watcher that has no table yet and always watches the KV, unless
+// HoldsWhen is given.
 func New(c kv.Client, clock clockwork.Clock, log *slog.Logger, opts ...Option) *Watcher {
-	w := &Watcher{kv: c, clock: clock, log: log, holds: func() bool { return true }, news: func() {}, other: func(string) {}}
+	w := &Watcher{kv: c, clock: clock, log: log, shouldWatch: func() bool { return true }, onChange: func() {}, onKey: func(string) {}}
 	for _, o := range opts {
 		o(w)
 	}
 	return w
 }
 
-// OnKey sets what takes the other keys under config.LivePrefix, which share
-// the watch; it must be set before Run.
-func (w *Watcher) OnKey(f func(key string)) { w.other = f }
+// OnKey sets the callback for the other keys under config.LivePrefix, which
+// share the watch; it must be set before Run.
+func (w *Watcher) OnKey(f func(key string)) { w.onKey = f }
 
-// OnNews sets what to call after a new revision came into force; it must be
-// set before Run.
-func (w *Watcher) OnNews(f func()) { w.news = f }
+// OnNews sets the callback for after a new revision took effect; it must be set
+// before Run.
+func (w *Watcher) OnNews(f func()) { w.onChange = f }
 
-// Table returns the table in force, or nil before the first configuration.
+// Table returns the current table, or nil before the first configuration.
 func (w *Watcher) Table() *route.Table {
 	if c := w.current.Load(); c != nil {
 		return c.table
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// Revision is the revision in force, 0 before the first.
+// Revision returns the current revision, or 0 before the first configuration.
 func (w *Watcher) Revision() kv.Revision {
 	if c := w.current.Load(); c != nil {
 		return c.table.Revision
@@ -123,15 +125,16 @@
 	return 0
 }
 
-// Since returns what an entry that has revision have needs to come up to the
-// one in force: a delta if have is among the last few, else the stored
-// bytes. It is empty when nothing newer is in force.
+// Since returns what an entry at revision have needs to update to the current
+// one: a delta if have is one of the last few revisions and the delta is smaller
+// than the stored bytes, else the stored bytes. Both are nil if have is not older
+// than the current revision.
 func (w *Watcher) Since(have kv.Revision) (rev kv.Revision, delta, stored []byte) {
 	c := w.current.Load()
 	if c == nil || have >= c.table.Revision {
 		return have, nil, nil
 	}
-	for _, o := range c.before {
+	for _, o := range c.previous {
 		if o.rev != have {
 			continue
 		}
@@ -142,7 +145,9 @@
 	return c.table.Revision, nil, c.stored
 }
 
-// OfferDelta considers a delta to revision rev made from revision from.
+// OfferDelta applies a delta between two revisions and offers the result. It
+// returns false if from is not the current revision, if the delta does not apply
+// or if the result is not accepted.
 func (w *Watcher) OfferDelta(from, rev kv.Revision, delta []byte) bool {
 	c := w.current.Load()
 	if c == nil || c.table.Revision != from {
@@ -150,18 +155,17 @@
 	}
 	plain, err := config.Patch(c.plain, delta)
 	if err != nil {
-		w.log.Warn("config: a peer's delta does not apply.", "from", from, "to", rev, "error", err)
+		w.log.Warn("config: delta from a peer does not apply.", "from", from, "to", rev, "error", err)
 		return false
 	}
 	return w.Offer(rev, plain)
 }
 
-// Offer considers a stored configuration seen at rev, from the KV or from a
-// peer. It is swapped in only when newer than the table in force and valid;
-// it returns whether it was taken.
+// Offer makes a stored configuration read at rev, from the KV or from a peer,
+// the current one if it is newer and valid. It reports whether it did.
 func (w *Watcher) Offer(rev kv.Revision, value []byte) bool {
-	w.offering.Lock()
-	defer w.offering.Unlock()
+	w.offerMu.Lock()
+	defer w.offerMu.Unlock()
 	if rev <= w.Revision() {
 		return false
 	}
@@ -172,47 +176,47 @@
 	}
 	if err != nil {
 		w.rejected.Add(1)
-		w.log.Warn("config: stored value does not decode; keeping the one in force.", "revision", rev, "error", err)
+		w.log.Warn("config: stored value does not decode; keeping the current configuration.", "revision", rev, "error", err)
 		return false
 	}
 	if fs := config.Validate(&env.Document); len(fs) > 0 {
 		w.rejected.Add(1)
-		w.log.Warn("config: stored value fails validation; keeping the one in force.", "revision", rev, "findings", len(fs))
+		w.log.Warn("config: stored value fails validation; keeping the current configuration.", "revision", rev, "findings", len(fs))
 		return false
 	}
-	next := &inForce{table: route.NewTable(rev, &env.Document), stored: slices.Clone(value), plain: slices.Clone(plain)}
+	next := &snapshot{table: route.NewTable(rev, &env.Document), stored: slices.Clone(value), plain: slices.Clone(plain)}
 	if c := w.current.Load(); c != nil {
-		next.before = append([]old{{c.table.Revision, c.plain}}, c.before[:min(len(c.before), keepOld-1)]...)
+		next.previous = append([]previousRevision{{c.table.Revision, c.plain}}, c.previous[:min(len(c.previous), maxPrevious-1)]...)
 	}
 	w.current.Store(next)
 	w.log.Info("config: new revision in force.", "revision", rev, "apply_id", env.ApplyID)
-	w.news()
+	w.onChange()
 	return true
 }
 
-// Run keeps the table current until ctx ends.
+// Run keeps the table up to date until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	bo := backoff.NewExponentialBackOff()
 	bo.InitialInterval = 100 * time.Millisecond
 	bo.MaxInterval = 5 * time.Second
-	after, err := w.read(ctx, readWait)
-	synced := true // whether a watch from after on misses nothing
+	after, err := w.read(ctx, readTimeout)
+	synced := true // whether a watch from revision after on misses no change
 	for ctx.Err() == nil {
 		switch {
-		case errors.Is(err, kv.ErrCompacted): // the history is gone: read
-			after, err = w.read(ctx, readWait)
+		case errors.Is(err, kv.ErrCompacted): // the history is compacted: read
+			after, err = w.read(ctx, readTimeout)
 		case err != nil:
 			w.kvErrors.Add(1)
 			wait := bo.NextBackOff()
-			w.log.Warn("config: KV call failed; keeping the configuration in force.", "error", err, "retry_in", wait)
+			w.log.Warn("config: KV call failed; keeping the current configuration.", "error", err, "retry_in", wait)
 			w.sleep(ctx, wait)
-			after, err = w.read(ctx, readWait)
-		case !w.holds():
+			after, err = w.read(ctx, readTimeout)
+		case !w.shouldWatch():
 			w.watching.Store(false)
 			synced = false
-			w.sleep(ctx, idleCheck)
-		case !synced: // took over the watch: what was missed comes first
-			after, err = w.read(ctx, readWait)
+			w.sleep(ctx, standbyCheckInterval)
+		case !synced: // took over the watch: first read what was missed
+			after, err = w.read(ctx, readTimeout)
 			synced = true
 		default:
 			bo.Reset()
@@ -231,10 +235,10 @@
 }
 
 // read offers the stored configuration and returns the store's revision. It
-// asks for the revisions first: the value is a hundred kilobytes at the
-// target size, and most reads find nothing new.
+// lists the revisions first: the value is a hundred kilobytes at the target
+// size, and most reads find no change.
 func (w *Watcher) read(ctx context.Context, wait time.Duration) (kv.Revision, error) {
-	asked := w.clock.Now()
+	requestedAt := w.clock.Now()
 	rctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	rev, keys, err := w.kv.List(rctx, config.LivePrefix)
@@ -243,7 +247,7 @@
 	}
 	for _, k := range keys {
 		if k.Key != config.Key {
-			w.other(k.Key)
+			w.onKey(k.Key)
 			continue
 		}
 		if k.ModRevision <= w.Revision() {
@@ -255,73 +259,73 @@
 			w.Offer(kvs[0].ModRevision, kvs[0].Value)
 		}
 	}
-	w.confirm(asked)
+	w.confirm(requestedAt)
 	return rev, nil
 }
 
-// watchThenRead waits for one change; when none comes it reads, since the
-// watch may have gone silent.
+// watchThenRead waits for a change. If none arrives it reads, because the
+// connection of the watch may have stalled.
 func (w *Watcher) watchThenRead(ctx context.Context, after kv.Revision) (kv.Revision, error) {
 	w.watching.Store(true)
-	asked := w.clock.Now()
-	wctx, cancel := context.WithTimeout(ctx, watchWait+readWait)
+	requestedAt := w.clock.Now()
+	wctx, cancel := context.WithTimeout(ctx, watchTimeout+readTimeout)
 	defer cancel()
-	rev, evs, err := w.kv.WatchOnce(wctx, config.LivePrefix, true, after, watchWait)
+	rev, evs, err := w.kv.WatchOnce(wctx, config.LivePrefix, true, after, watchTimeout)
 	if err != nil {
 		return after, err
 	}
 	if len(evs) == 0 {
-		return w.read(ctx, readWait)
+		return w.read(ctx, readTimeout)
 	}
 	for _, ev := range evs {
 		if ev.Type == kv.EventPut {
-			w.take(ev.KV)
+			w.handlePut(ev.KV)
 		}
 	}
-	// Not the time now: the event may have lain in a socket while this
-	// process was paused.
-	w.confirm(asked)
+	// Not the present time: the event may have waited in a socket buffer while
+	// this process was paused.
+	w.confirm(requestedAt)
 	return max(rev, after), nil
 }
 
-func (w *Watcher) take(v kv.KeyValue) {
+func (w *Watcher) handlePut(v kv.KeyValue) {
 	if v.Key == config.Key {
 		w.Offer(v.ModRevision, v.Value)
 		return
 	}
-	w.other(v.Key)
+	w.onKey(v.Key)
 }
 
-// confirm notes that the table in force was current at t.
+// confirm records that the current table was up to date at t.
 func (w *Watcher) confirm(t time.Time) {
 	w.mu.Lock()
-	if t.After(w.freshAt) {
-		w.freshAt = t
+	if t.After(w.confirmedAt) {
+		w.confirmedAt = t
 	}
 	w.mu.Unlock()
 }
 
-// Age is how long ago the table in force was last known to be current;
-// ok is false when it never was.
+// Age returns how long ago the table was last confirmed to be current; ok is
+// false if it never was.
 func (w *Watcher) Age() (age time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.freshAt.IsZero() {
+	if w.confirmedAt.IsZero() {
 		return 0, false
 	}
-	return w.clock.Now().Sub(w.freshAt), true
+	return w.clock.Now().Sub(w.confirmedAt), true
 }
 
-// Refresh is called before each decision. An entry that was paused and
-// resumes still holds the table of before, and would send new work to a
-// version withdrawn meanwhile until its watch catches up; so when its
-// knowledge is older than FreshFor it reads first, for refreshWait at most.
-// When the KV does not answer it goes on with what it has: a failure domain
-// that is cut off keeps serving.
+// Refresh is called before each routing decision. An entry that resumes after a
+// pause still has its old table and would send new work to a version withdrawn
+// meanwhile until its watch catches up. So if the table was not confirmed within
+// MaxStaleness, Refresh reads first, for refreshTimeout at most. If the KV does
+// not respond, the entry continues with its table, so that a partitioned failure
+// domain keeps serving.
 func (w *Watcher) Refresh(ctx context.Context) {
 	now := w.clock.Now()
 	w.mu.Lock()
-	due := now.Sub(w.freshAt) > FreshFor && now.Sub(w.refreshedAt) >= refreshEvery
+	due := now.Sub(w.confirmedAt) > MaxStaleness && now.Sub(w.refreshedAt) >= refreshInterval
 	if due {
 		w.refreshedAt = now
 	}
@@ -329,12 +333,12 @@
 	if !due {
 		return
 	}
-	if _, err := w.read(ctx, refreshWait); err != nil {
+	if _, err := w.read(ctx, refreshTimeout); err != nil {
 		w.kvErrors.Add(1)
 	}
 }
 
-// State is the watcher's part of the state dump.
+// State is the watcher's section of the state dump.
 type State struct {
 	Revision   kv.Revision `json:"revision"`
 	Watching   bool        `json:"watching"`
@@ -343,8 +347,8 @@
 	KVErrors   int64       `json:"kv_errors"`
 }
 
-// State returns the current dump; AgeSeconds is -1 when the table was never
-// known to be current.
+// State returns the current state; AgeSeconds is -1 if the table was never
+// confirmed to be current.
 func (w *Watcher) State() State {
 	st := State{Revision: w.Revision(), Watching: w.watching.Load(), Rejected: w.rejected.Load(), KVErrors: w.kvErrors.Load(), AgeSeconds: -1}
 	if age, ok := w.Age(); ok {
--- a/configwatch/watcher_test.go
+++ b/configwatch/watcher_test.go
@@ -15,7 +15,7 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-func stored(t *rapid.T, applyID string) []byte {
+func marshalEnvelope(t *rapid.T, applyID string) []byte {
 	env := config.Envelope{ApplyID: applyID, AppliedAt: time.Unix(0, 0), Document: *synth.Document(synth.Size{Customers: 1, Models: 1, VersionsPerModel: 1, Backends: 1, Domains: 1})}
 	b, err := env.Marshal()
 	if err != nil {
@@ -24,14 +24,11 @@
 	return b
 }
 
-// TestPropertyConfigNeverReverts: invariant 10. Symptom: an entry serves an
-// older configuration after a newer one was in force (a withdrawn version
-// comes back). Sequence: answers carrying revisions arrive late, repeated
-// and out of order, from the KV's watch, its re-reads and from peers.
-// Cause, in a watcher that takes whatever arrives last: the older answer
-// wins. Here a revision is taken only when newer than the one in force, so
-// the revision in force only rises and always equals the highest valid
-// revision offered so far.
+// TestPropertyConfigNeverReverts (invariant 10) guards against an entry that
+// returns to an older configuration, which would bring back a withdrawn version.
+// Revisions arrive late, repeated and out of order from the KV's watch, its
+// reads and from peers; a watcher that takes the last one to arrive would revert.
+// The current revision must always be the highest valid one offered so far.
 func TestPropertyConfigNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(nil, clockwork.NewFakeClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -39,7 +36,7 @@
 		var highest, last kv.Revision
 		for i, r := range revs {
 			valid := rapid.IntRange(0, 5).Draw(t, "valid") > 0
-			value := stored(t, "ok")
+			value := marshalEnvelope(t, "ok")
 			if !valid {
 				value = []byte("{not json")
 			}
@@ -50,15 +47,15 @@
 			got := w.Table()
 			if highest == 0 {
 				if got != nil {
-					t.Fatalf("step %d: a table is in force though nothing valid was offered", i)
+					t.Fatalf("step %d: a table is current though no valid configuration was offered", i)
 				}
 				continue
 			}
 			if got.Revision < last {
-				t.Fatalf("step %d: revision went back from %d to %d", i, last, got.Revision)
+				t.Fatalf("step %d: revision decreased from %d to %d", i, last, got.Revision)
 			}
 			if got.Revision != highest {
-				t.Fatalf("step %d: revision in force %d, highest valid offered %d", i, got.Revision, highest)
+				t.Fatalf("step %d: current revision is %d, highest valid revision offered is %d", i, got.Revision, highest)
 			}
 			last = got.Revision
 		}
