--- a/kv/etcdv3/api/api.go
+++ b/kv/etcdv3/api/api.go
@@ -1,6 +1,6 @@
 package api
 
-// Paths of the calls, below the service's base URL.
+// Paths of the calls, relative to the service's base URL.
 const (
 	PathRange       = "/v3/kv/range"
 	PathPut         = "/v3/kv/put"
@@ -12,7 +12,8 @@
 	PathRevoke      = "/v3/lease/revoke"
 )
 
-// Header starts every answer; Revision is the store's at the time.
+// Header is part of every response; Revision is the store's revision at that
+// time.
 type Header struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
@@ -28,14 +29,14 @@
 }
 
 // RangeRequest reads Key, or [Key, RangeEnd) when RangeEnd is set; KeysOnly
-// leaves the values out.
+// omits the values.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	KeysOnly bool   `json:"keys_only,omitempty"`
 }
 
-// RangeResponse answers RangeRequest.
+// RangeResponse is the response to RangeRequest.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs,omitempty"`
@@ -49,7 +50,7 @@
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// PutResponse answers PutRequest.
+// PutResponse is the response to PutRequest.
 type PutResponse struct {
 	Header Header `json:"header"`
 }
@@ -60,7 +61,7 @@
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// DeleteRangeResponse answers DeleteRangeRequest.
+// DeleteRangeResponse is the response to DeleteRangeRequest.
 type DeleteRangeResponse struct {
 	Header  Header `json:"header"`
 	Deleted int64  `json:"deleted,string,omitempty"`
@@ -81,14 +82,14 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// RequestOp is one operation of a transaction; one field is set.
+// RequestOp is one operation of a transaction; exactly one field is set.
 type RequestOp struct {
 	Range  *RangeRequest       `json:"request_range,omitempty"`
 	Put    *PutRequest         `json:"request_put,omitempty"`
 	Delete *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// ResponseOp answers one RequestOp.
+// ResponseOp is the response to one RequestOp.
 type ResponseOp struct {
 	Range  *RangeResponse       `json:"response_range,omitempty"`
 	Put    *PutResponse         `json:"response_put,omitempty"`
@@ -102,7 +103,7 @@
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse answers TxnRequest.
+// TxnResponse is the response to TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
@@ -121,7 +122,7 @@
 	StartRevision int64  `json:"start_revision,string,omitempty"`
 }
 
-// EventDelete is the type of a removal; a write has an empty type or "PUT".
+// EventDelete is the type of a deletion; a write has an empty type or "PUT".
 const EventDelete = "DELETE"
 
 // Event is one change.
@@ -130,8 +131,8 @@
 	KV   KeyValue `json:"kv"`
 }
 
-// WatchResponse is one message of a watch. CompactRevision is set, and the
-// watch canceled, when StartRevision's history is gone.
+// WatchResponse is one message of a watch. If the history from StartRevision on
+// has been compacted, CompactRevision is set and the watch is canceled.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -140,41 +141,43 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// WatchMessage wraps a WatchResponse, as streamed answers are.
+// WatchMessage wraps a WatchResponse, as the JSON mapping does for streams.
 type WatchMessage struct {
 	Result WatchResponse `json:"result"`
 }
 
-// LeaseGrantRequest asks for a lease of TTL seconds.
+// LeaseGrantRequest requests a lease of TTL seconds.
 type LeaseGrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
 
-// LeaseGrantResponse answers LeaseGrantRequest.
+// LeaseGrantResponse is the response to LeaseGrantRequest.
 type LeaseGrantResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string"`
 	TTL    int64  `json:"TTL,string"`
 }
 
-// LeaseID names a lease to renew or revoke.
+// LeaseID identifies a lease to renew or revoke.
 type LeaseID struct {
 	ID int64 `json:"ID,string"`
 }
 
-// KeepAliveResponse answers a renewal; TTL 0 means the lease is gone.
+// KeepAliveResponse is the response to a renewal; TTL 0 means that the lease has
+// expired or does not exist.
 type KeepAliveResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string"`
 	TTL    int64  `json:"TTL,string,omitempty"`
 }
 
-// KeepAliveMessage wraps a KeepAliveResponse, as streamed answers are.
+// KeepAliveMessage wraps a KeepAliveResponse, as the JSON mapping does for
+// streams.
 type KeepAliveMessage struct {
 	Result KeepAliveResponse `json:"result"`
 }
 
-// Codes of Error, from the API's status codes.
+// Codes of Error, a subset of the gRPC status codes.
 const (
 	CodeInvalidArgument  = 3
 	CodeDeadlineExceeded = 4
@@ -182,13 +185,14 @@
 	CodeUnavailable      = 14
 )
 
-// Error is the body of an answer that is not 200.
+// Error is the body of a response with a status other than 200.
 type Error struct {
 	Message string `json:"message"`
 	Code    int    `json:"code"`
 }
 
-// PrefixEnd returns the range end that makes [p, end) every key under p.
+// PrefixEnd returns the end of the range [p, end) that contains every key with
+// prefix p.
 func PrefixEnd(p []byte) []byte {
 	end := append([]byte(nil), p...)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/kv/etcdv3/client.go
+++ b/kv/etcdv3/client.go
@@ -15,11 +15,11 @@
 	"github.com/lovageweir/lovageweir/kv/etcdv3/api"
 )
 
-// maxAnswer bounds one answer: the platform's values are at most 1 MiB, and
-// base64 and a prefix read of a few of them must fit.
-const maxAnswer = 64 << 20
+// maxResponseSize limits one response: the platform's values are at most 1 MiB,
+// and a prefix read of several of them in base64 must fit.
+const maxResponseSize = 64 << 20
 
-// Client talks to one endpoint of the service.
+// Client is a client of one endpoint of the service.
 type Client struct {
 	base string
 	hc   *http.Client
@@ -28,8 +28,8 @@
 var _ kv.Client = (*Client)(nil)
 
 // New returns a client for the service at baseURL (e.g.
-// http://127.0.0.1:2379). hc must have no overall timeout, since watches
-// wait; deadlines come from each call's context.
+// http://127.0.0.1:2379). hc must have no overall timeout, because watches are
+// long-running; deadlines come from each call's context.
 func New(baseURL string, hc *http.Client) *Client {
 	if hc == nil {
 		hc = &http.Client{}
@@ -37,8 +37,8 @@
 	return &Client{base: baseURL, hc: hc}
 }
 
-// open sends one request and returns the answer's body if it is 200.
-func (c *Client) open(ctx context.Context, path string, req any) (io.ReadCloser, error) {
+// post sends one request and returns the response body if the status is 200.
+func (c *Client) post(ctx context.Context, path string, req any) (io.ReadCloser, error) {
 	b, err := json.Marshal(req)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -57,21 +57,21 @@
 	}
 	defer resp.Body.Close()
 	var e api.Error
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&e)
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxResponseSize)).Decode(&e)
 	if e.Code == api.CodeNotFound {
 		return nil, kv.ErrLeaseNotFound
 	}
 	return nil, trace.Wrap(kv.ErrUnavailable, "%s: %d %s", path, resp.StatusCode, e.Message)
 }
 
-// call is open for an answer of one message.
+// call sends one request and decodes a response of a single message into resp.
 func (c *Client) call(ctx context.Context, path string, req, resp any) error {
-	body, err := c.open(ctx, path, req)
+	body, err := c.post(ctx, path, req)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(resp); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseSize)).Decode(resp); err != nil {
 		return trace.Wrap(kv.ErrUnavailable, err.Error())
 	}
 	return nil
@@ -121,15 +121,15 @@
 	return kv.Revision(r.Header.Revision), err
 }
 
-// modIs is the condition that key is still at rev.
-func modIs(key string, rev kv.Revision) []api.Compare {
+// modRevisionEquals returns the condition that key's mod revision is rev.
+func modRevisionEquals(key string, rev kv.Revision) []api.Compare {
 	return []api.Compare{{Result: api.ResultEqual, Target: api.TargetMod, Key: []byte(key), ModRevision: int64(rev)}}
 }
 
 // CompareAndPut implements kv.KV.
 func (c *Client) CompareAndPut(ctx context.Context, key string, expect kv.Revision, value []byte, lease kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
 	req := api.TxnRequest{
-		Compare: modIs(key, expect),
+		Compare: modRevisionEquals(key, expect),
 		Success: []api.RequestOp{{Put: &api.PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 		Failure: []api.RequestOp{{Range: &api.RangeRequest{Key: []byte(key)}}},
 	}
@@ -148,7 +148,7 @@
 // CompareAndDelete implements kv.KV.
 func (c *Client) CompareAndDelete(ctx context.Context, key string, expect kv.Revision) (bool, error) {
 	req := api.TxnRequest{
-		Compare: modIs(key, expect),
+		Compare: modRevisionEquals(key, expect),
 		Success: []api.RequestOp{{Delete: &api.DeleteRangeRequest{Key: []byte(key)}}},
 	}
 	var r api.TxnResponse
@@ -189,23 +189,23 @@
 }
 
 // WatchOnce implements kv.Watcher: it opens a watch, waits for its first
-// events and closes it. When the wait passes without any it returns after
-// itself, never the service's newer revision: a watch that went silent has
-// delivered nothing, so nothing may be skipped.
+// events and closes it. If none arrives within wait it returns after unchanged,
+// never a newer revision of the service: a watch on a stalled connection has
+// delivered nothing, so no change may be skipped.
 func (c *Client) WatchOnce(ctx context.Context, key string, prefix bool, after kv.Revision, wait time.Duration) (kv.Revision, []kv.Event, error) {
 	wctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	body, err := c.open(wctx, api.PathWatch, api.WatchRequest{Create: api.WatchCreate{
+	body, err := c.post(wctx, api.PathWatch, api.WatchRequest{Create: api.WatchCreate{
 		Key: []byte(key), RangeEnd: rangeEnd(key, prefix), StartRevision: int64(after) + 1}})
 	if err != nil {
-		return after, nil, passed(ctx, wctx, err)
+		return after, nil, ignoreWaitExpired(ctx, wctx, err)
 	}
 	defer body.Close()
 	dec := json.NewDecoder(body)
 	for {
 		var m api.WatchMessage
 		if err := dec.Decode(&m); err != nil {
-			return after, nil, passed(ctx, wctx, trace.Wrap(kv.ErrUnavailable, err.Error()))
+			return after, nil, ignoreWaitExpired(ctx, wctx, trace.Wrap(kv.ErrUnavailable, err.Error()))
 		}
 		switch r := m.Result; {
 		case r.CompactRevision > 0:
@@ -218,8 +218,9 @@
 	}
 }
 
-// passed turns an error into nil when the watch's own wait ended it.
-func passed(ctx, wctx context.Context, err error) error {
+// ignoreWaitExpired returns nil instead of err if the watch ended because its
+// wait expired.
+func ignoreWaitExpired(ctx, wctx context.Context, err error) error {
 	if ctx.Err() == nil && errors.Is(wctx.Err(), context.DeadlineExceeded) {
 		return nil
 	}
--- a/kv/kv.go
+++ b/kv/kv.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Revision is the store's logical clock: it rises by one with every write
-// and never goes back. Zero means "no revision" (an absent key).
+// Revision is the store's logical clock: it increases by one with every write
+// and never decreases. Zero means "no revision" (an absent key).
 type Revision int64
 
-// LeaseID names a lease granted by the store. Zero means "no lease".
+// LeaseID identifies a lease granted by the store. Zero means "no lease".
 type LeaseID int64
 
-// KeyValue is one stored key with the revisions that last touched it.
+// KeyValue is one stored key with the revisions of its creation and of its last
+// change.
 type KeyValue struct {
 	Key            string
 	Value          []byte
@@ -38,13 +39,13 @@
 	KV   KeyValue
 }
 
-// Errors returned by adapters. ErrUnavailable means the outcome of a write is
-// unknown: the store may have applied it and lost the answer.
+// Errors returned by implementations. ErrUnavailable means the outcome of a
+// write is unknown: the store may have applied it and the response was lost.
 var (
 	ErrUnavailable   = errors.New("kv: service unavailable")
 	ErrLeaseNotFound = errors.New("kv: lease not found or expired")
-	// ErrCompacted: the history a watch asked for is gone; read, then watch
-	// from the revision read.
+	// ErrCompacted means that the history a watch requested has been
+	// compacted; read, then watch from the revision of the read.
 	ErrCompacted = errors.New("kv: watch history is compacted")
 )
 
@@ -53,7 +54,8 @@
 	// Get returns the key (or, with prefix, every key under it) and the
 	// store's revision at the time of the read.
 	Get(ctx context.Context, key string, prefix bool) (Revision, []KeyValue, error)
-	// List is Get with prefix, without the values: what changed, for little.
+	// List is Get with prefix but without the values: an inexpensive way to see
+	// which keys changed.
 	List(ctx context.Context, prefix string) (Revision, []KeyValue, error)
 	// Put writes unconditionally and returns the new revision.
 	Put(ctx context.Context, key string, value []byte, lease LeaseID) (Revision, error)
@@ -68,8 +70,8 @@
 	Delete(ctx context.Context, key string, prefix bool) (Revision, error)
 }
 
-// Lease grants, renews and revokes leases. Keys written with a lease vanish
-// when it expires.
+// Lease grants, renews and revokes leases. Keys written with a lease are deleted
+// when it expires or is revoked.
 type Lease interface {
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error)
@@ -78,12 +80,12 @@
 
 // Watcher waits for changes. WatchOnce returns as soon as events newer than
 // after exist, or with no events (and after unchanged) once wait has passed;
-// callers loop. One waiting call is one call to the service.
+// callers loop. Each WatchOnce is one call to the service.
 type Watcher interface {
 	WatchOnce(ctx context.Context, key string, prefix bool, after Revision, wait time.Duration) (Revision, []Event, error)
 }
 
-// Client is everything lovageweir needs from the service.
+// Client is the complete interface that lovageweir uses.
 type Client interface {
 	KV
 	Lease
--- a/kv/memkv/store.go
+++ b/kv/memkv/store.go
@@ -30,7 +30,7 @@
 	rev     kv.Revision
 	data    map[string]kv.KeyValue
 	history []kv.Event
-	// compacted is the newest revision whose event is forgotten.
+	// compacted is the newest revision whose event has been discarded.
 	compacted kv.Revision
 	leases    map[kv.LeaseID]*lease
 	nextID    kv.LeaseID
@@ -177,7 +177,7 @@
 
 func (s *Store) recordLocked(ev kv.Event) {
 	s.history = append(s.history, ev)
-	// Trim only at twice the limit, so the copy is paid once per
+	// Compact only at twice the limit, so that the copy is made once per
 	// historyLimit writes rather than on every write.
 	if len(s.history) > 2*historyLimit {
 		s.compactLocked(len(s.history) - historyLimit)
@@ -186,7 +186,7 @@
 	s.changed = make(chan struct{})
 }
 
-// compactLocked forgets the oldest n events.
+// compactLocked discards the oldest n events.
 func (s *Store) compactLocked(n int) {
 	if n <= 0 {
 		return
@@ -195,7 +195,7 @@
 	s.history = append([]kv.Event(nil), s.history[n:]...)
 }
 
-// Compact forgets all history, as the platform's service does after a while.
+// Compact discards all history, as the platform's service does after some time.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,8 +212,8 @@
 	return id, nil
 }
 
-// KeepAlive implements kv.Lease. A lease that has already expired cannot be
-// renewed: its holder must notice ErrLeaseNotFound and stop acting on it.
+// KeepAlive implements kv.Lease. An expired lease cannot be renewed: its holder
+// gets ErrLeaseNotFound and must stop acting on the lease.
 func (s *Store) KeepAlive(_ context.Context, id kv.LeaseID) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -305,7 +305,7 @@
 	return s.rev
 }
 
-// Stats is a point-in-time view for state dumps.
+// Stats is a snapshot of the store's size for state dumps.
 type Stats struct {
 	Revision kv.Revision `json:"revision"`
 	Keys     int         `json:"keys"`
@@ -313,7 +313,7 @@
 	Bytes    int         `json:"bytes"`
 }
 
-// Stats returns the store's size.
+// Stats returns the current size of the store.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
