--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// sseBody renders n chunks of request rid as an engine would stream them.
+// sseBody renders n chunks of request rid in the form an engine streams them.
 func sseBody(rid string, n int) []byte {
 	var buf bytes.Buffer
 	for i := 0; i < n; i++ {
@@ -27,8 +27,8 @@
 	return buf.Bytes()
 }
 
-// BenchmarkRelayPerToken is the entry's CPU per streamed token: read the
-// engine's event, check it belongs to this request, write and flush it.
+// BenchmarkRelayPerToken is the entry's CPU per streamed token: reading the
+// engine's event, checking that it belongs to this request, writing and flushing it.
 func BenchmarkRelayPerToken(b *testing.B) {
 	gin.SetMode(gin.ReleaseMode)
 	g := New(testDeps(&config.Document{}, clockwork.NewRealClock()))
@@ -42,17 +42,17 @@
 		q := &request{c: c, rid: "rid-1", stream: true}
 		out := g.newOutput(q, &route.Decision{})
 		resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}
-		wd := g.watch(func() {}, time.Minute)
+		wd := g.startWatchdog(func() {}, time.Minute)
 		g.relayStream(resp, q, route.BackendInfo{Name: "e", Model: "m", Version: "v1"}, wd, out)
 		out.finish()
 		wd.timer.Stop()
 		if !bytes.Contains(w.Body.Bytes(), []byte("[DONE]")) {
-			b.Fatal("stream not relayed whole")
+			b.Fatal("stream not relayed completely")
 		}
 	}
 }
 
-// ginContext is a chat request by customer c's key k.
+// ginContext returns a chat request with API key k, of customer c.
 func ginContext(w *httptest.ResponseRecorder, body string) *gin.Context {
 	gin.SetMode(gin.ReleaseMode)
 	c, _ := gin.CreateTestContext(w)
--- a/gateway/cascade_test.go
+++ b/gateway/cascade_test.go
@@ -19,10 +19,10 @@
 	"github.com/lovageweir/lovageweir/standin/engine"
 )
 
-// scores is a rater that scores by model; a missing one means it is down.
-type scores map[string]float64
+// scoreRater scores answers by model; it is down for a model without a score.
+type scoreRater map[string]float64
 
-func (s scores) Rate(_ context.Context, a rater.Answer) (float64, error) {
+func (s scoreRater) Rate(_ context.Context, a rater.Answer) (float64, error) {
 	v, ok := s[a.Model]
 	if !ok {
 		return 0, errors.New("rater is down")
@@ -30,9 +30,9 @@
 	return v, nil
 }
 
-// twoSteps is a configuration whose cascade "draft" goes from cheap to
-// costly, each served by one engine.
-func twoSteps(t *testing.T, cheap, costly engine.Faults) *config.Document {
+// twoStepConfig is a configuration whose cascade "draft" goes from model cheap to
+// model costly, each served by one engine.
+func twoStepConfig(t *testing.T, cheap, costly engine.Faults) *config.Document {
 	v1 := map[string]config.Version{"v1": {State: config.StateActive, Weight: 1}}
 	doc := &config.Document{
 		Models:    map[string]config.Model{"cheap": {CostPerMTok: 1, Versions: v1}, "costly": {CostPerMTok: 10, Versions: v1}},
@@ -58,41 +58,41 @@
 	return await(t, askModel(srv, model, stream))
 }
 
-// TestCascade: a cascade's answer is whole and one model's own, whatever
-// the rater says and whichever step fails; what was paid for is billed.
+// Guards against answers that are incomplete or joined from two models, and
+// against bills that miss a step, for each rating and each failing step.
 func TestCascade(t *testing.T) {
 	ok, failing := engine.Faults{}, engine.Faults{FailEvery: 1}
 	for _, tc := range []struct {
 		name         string
-		rater        scores
+		rater        scoreRater
 		cheap        engine.Faults
 		costly       engine.Faults
 		status       int
 		model, uses  string
 		belowQuality bool
 	}{
-		{"good enough", scores{"cheap": 0.9}, ok, ok, 200, "cheap@v1", "cheap", false},
-		{"not good enough", scores{"cheap": 0.3}, ok, ok, 200, "costly@v1", "cheap costly", false},
-		{"the rater is down", scores{}, ok, ok, 200, "costly@v1", "cheap costly", false},
-		{"the cheap step fails", scores{"cheap": 0.9}, failing, ok, 200, "costly@v1", "costly", false},
-		{"the costly step fails", scores{"cheap": 0.3}, ok, failing, 200, "cheap@v1", "cheap", true},
-		{"both fail", scores{}, failing, failing, 504, "", "", false},
+		{"good enough", scoreRater{"cheap": 0.9}, ok, ok, 200, "cheap@v1", "cheap", false},
+		{"not good enough", scoreRater{"cheap": 0.3}, ok, ok, 200, "costly@v1", "cheap costly", false},
+		{"the rater is down", scoreRater{}, ok, ok, 200, "costly@v1", "cheap costly", false},
+		{"the cheap step fails", scoreRater{"cheap": 0.9}, failing, ok, 200, "costly@v1", "costly", false},
+		{"the costly step fails", scoreRater{"cheap": 0.3}, ok, failing, 200, "cheap@v1", "cheap", true},
+		{"both fail", scoreRater{}, failing, failing, 504, "", "", false},
 	} {
 		for _, stream := range []bool{true, false} {
 			t.Run(tc.name, func(t *testing.T) {
 				is := is.New(t)
-				d := testDeps(twoSteps(t, tc.cheap, tc.costly), clockwork.NewFakeClock())
+				d := testDeps(twoStepConfig(t, tc.cheap, tc.costly), clockwork.NewFakeClock())
 				d.Rater, d.Planner = tc.rater, cascade.NewPlanner()
-				bill := newBooks()
+				bill := newFakeLedger()
 				d.Bill = bill
 				a := askFor(t, serveGateway(t, d), "draft", stream)
 				is.Equal(a.status, tc.status)
-				is.Equal(len(bill.settled), 1) // billed once, whatever the steps
+				is.Equal(len(bill.settled), 1) // billed once, however many steps ran
 				is.Equal(a.header.Get(openai.HeaderQuality) == openai.QualityBelow, tc.belowQuality)
 				is.Equal(bill.models(), tc.uses)
 				if tc.status == http.StatusOK {
 					is.True(strings.Contains(a.body, tc.model))
-					is.Equal(strings.Count(a.body, "-0 "), 1) // one answer, not two joined
+					is.Equal(strings.Count(a.body, "-0 "), 1) // one answer, not two concatenated
 					is.Equal(strings.Contains(a.body, "[DONE]"), stream)
 				}
 			})
@@ -100,16 +100,15 @@
 	}
 }
 
-// TestCascadeStepStaysInAllowList: invariant 1. Symptom: a customer is
-// served by a model it may not use. Sequence: it may use a cascade and its
-// cheap model only; the cheap answer is not good enough. Cause, if the
-// cascade's name were enough: the costly step would run.
+// Guards against a customer being served by a model it may not use (invariant 1).
+// The customer may use the cascade and its cheap model only, and the cheap answer
+// scores too low; if the cascade's name sufficed, the costly step would run.
 func TestCascadeStepStaysInAllowList(t *testing.T) {
 	is := is.New(t)
-	doc := twoSteps(t, engine.Faults{}, engine.Faults{})
+	doc := twoStepConfig(t, engine.Faults{}, engine.Faults{})
 	doc.Customers["c"] = config.Customer{APIKeys: []string{"k"}, Allow: map[string][]string{"draft": {"*"}, "cheap": {"*"}}}
 	d := testDeps(doc, clockwork.NewFakeClock())
-	d.Rater = scores{"cheap": 0.1}
+	d.Rater = scoreRater{"cheap": 0.1}
 	a := askFor(t, serveGateway(t, d), "draft", true)
 	is.Equal(a.status, http.StatusOK)
 	is.True(!strings.Contains(a.body, "costly@v1"))
@@ -121,16 +120,16 @@
 	is.Equal(a.status, http.StatusUnauthorized)
 }
 
-// counter is a guard that halts nothing and counts.
-type counter struct {
+// countingGuard counts answers and halts nothing.
+type countingGuard struct {
 	mu        sync.Mutex
 	good, bad int
 	seen      chan struct{}
 }
 
-func (*counter) Halted(string) bool { return false }
+func (*countingGuard) Halted(string) bool { return false }
 
-func (c *counter) Observe(_ string, bad bool) {
+func (c *countingGuard) Observe(_ string, bad bool) {
 	c.mu.Lock()
 	if bad {
 		c.bad++
@@ -141,30 +140,28 @@
 	c.seen <- struct{}{}
 }
 
-// TestGuardHearsEveryAnswer: symptom: a version that answers badly is never
-// halted. Sequence: a guarded version gives a low-rated answer, then fails,
-// then answers while the rater is down. Cause, if one of the paths did not
-// count: its failures would go unseen, or (counting only failures) every
-// version would be halted in time.
-func TestGuardHearsEveryAnswer(t *testing.T) {
+// Guards against a bad version that is never halted because one of the paths does
+// not report to the guard (low rating, failure, rater down), and against every
+// version being halted eventually because only failures are counted.
+func TestGuardObservesEveryAnswer(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for _, tc := range []struct {
-		rater  scores
+		rater  scoreRater
 		faults engine.Faults
 		bad    int
-	}{{scores{"cheap": 0.2}, engine.Faults{}, 1}, {scores{"cheap": 0.9}, engine.Faults{}, 0}, {scores{}, engine.Faults{}, 0}, {scores{}, engine.Faults{FailEvery: 1}, 1}} {
-		doc := twoSteps(t, tc.faults, engine.Faults{})
+	}{{scoreRater{"cheap": 0.2}, engine.Faults{}, 1}, {scoreRater{"cheap": 0.9}, engine.Faults{}, 0}, {scoreRater{}, engine.Faults{}, 0}, {scoreRater{}, engine.Faults{FailEvery: 1}, 1}} {
+		doc := twoStepConfig(t, tc.faults, engine.Faults{})
 		doc.Models["cheap"].Versions["v1"] = config.Version{State: config.StateActive, Weight: 1, Guard: &config.Guard{Baseline: "v0", MinScore: 0.5}}
 		d := testDeps(doc, clockwork.NewFakeClock())
-		heard := &counter{seen: make(chan struct{}, 4)}
-		d.Rater, d.Guard = tc.rater, heard
+		guard := &countingGuard{seen: make(chan struct{}, 4)}
+		d.Rater, d.Guard = tc.rater, guard
 		g := New(d)
 		go g.RunRatings(ctx)
 		askFor(t, serve(t, g), "cheap", true)
-		<-heard.seen
-		is.Equal(heard.bad, tc.bad)
-		is.Equal(heard.good, 1-tc.bad)
+		<-guard.seen
+		is.Equal(guard.bad, tc.bad)
+		is.Equal(guard.good, 1-tc.bad)
 	}
 }
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -18,43 +18,43 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// maxBody bounds a request's body: a dossier is tens of kilobytes.
-const maxBody = 4 << 20
+// maxRequestBody bounds a request body; the largest prompts (dossiers) are tens of kilobytes.
+const maxRequestBody = 4 << 20
 
-// request is one caller's request on its way.
+// request is the state of one caller request.
 type request struct {
 	c      *gin.Context
 	rid    string
-	name   string // the model or cascade asked for
+	name   string // the requested model or cascade
 	stream bool
 	body   []byte                     // as the caller sent it
-	fields map[string]json.RawMessage // the body, to be sent on
+	fields map[string]json.RawMessage // the decoded body, to be forwarded
 	chat   openai.ChatRequest
-	// service is set for a call to a plain service; fields and chat are not.
-	service *serviceCall
+	// service is set for a call to a plain service; fields and chat are then unset.
+	service *backendCall
 	table   *route.Table
 	route   route.Request
 
 	customer    string
 	fingerprint quarantine.Fingerprint
 	opened      bool
-	// roomIn is when the first of the back ends left out by their limits has room; 0:
-	// none was.
-	roomIn     time.Duration
-	mayHaveRun bool // a back end may have run it, wholly or in part
+	// limitWait is the shortest wait until a rate-limited candidate that was skipped has
+	// capacity; 0 if none was skipped.
+	limitWait  time.Duration
+	mayHaveRun bool // a back end may have run it, completely or in part
 	uses       []ledger.Use
 	pins       map[string]string // the session's versions, by model
-	release    func()            // gives back its idempotency key
+	release    func()            // releases its claim on the idempotency key
 }
 
-// leftOut notes that a back end has no room for so long.
-func (q *request) leftOut(wait time.Duration) {
-	if q.roomIn == 0 || wait < q.roomIn {
-		q.roomIn = wait
+// noteRateLimited records that a candidate was skipped and has capacity after wait.
+func (q *request) noteRateLimited(wait time.Duration) {
+	if q.limitWait == 0 || wait < q.limitWait {
+		q.limitWait = wait
 	}
 }
 
-// promptBytes is the size of the prompt, which cascades learn by.
+// promptBytes is the size of the prompt, by which the cascade planner learns.
 func (q *request) promptBytes() int {
 	n := 0
 	for _, m := range q.chat.Messages {
@@ -63,34 +63,34 @@
 	return n
 }
 
-// chat serves one chat completion.
+// chat handles a chat completion request.
 func (g *Gateway) chat(c *gin.Context) *route.Refusal {
-	q, ref := g.read(c)
+	q, ref := g.readChat(c)
 	if ref != nil {
 		return ref
 	}
-	return g.serve(q)
+	return g.serveChat(q)
 }
 
-// readBody reads a request's body whole, or says why not.
+// readBody reads a request body of up to maxRequestBody bytes.
 func readBody(c *gin.Context) ([]byte, *route.Refusal) {
 	stop := drain.InterruptReading(c.Request.Context(), c.Writer)
-	body, err := io.ReadAll(io.LimitReader(c.Request.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(c.Request.Body, maxRequestBody+1))
 	stop()
-	if err != nil && cutOff(c) {
+	if err != nil && cutByDrain(c) {
 		return nil, errDraining
 	}
 	if err != nil {
 		return nil, badRequest(err.Error())
 	}
-	if len(body) > maxBody {
+	if len(body) > maxRequestBody {
 		return nil, errTooLarge
 	}
 	return body, nil
 }
 
-// read takes a chat request in.
-func (g *Gateway) read(c *gin.Context) (*request, *route.Refusal) {
+// readChat reads and decodes a chat completion request.
+func (g *Gateway) readChat(c *gin.Context) (*request, *route.Refusal) {
 	body, ref := readBody(c)
 	if ref != nil {
 		return nil, ref
@@ -103,19 +103,20 @@
 		return nil, badRequest("body is not a chat completion request: " + err.Error())
 	}
 	q.name, q.stream = q.chat.Model, q.chat.Stream
-	q.route.AffinityKey = affinity(q.chat)
+	q.route.AffinityKey = affinityKey(q.chat)
 	return q, g.begin(q)
 }
 
-// begin gives q its id and fixes the table it is decided under.
+// begin assigns q its id and fixes the routing table that all its decisions
+// use.
 func (g *Gateway) begin(q *request) *route.Refusal {
 	g.Tables.Refresh(q.c.Request.Context())
 	if q.table = g.Tables.Table(); q.table == nil {
 		return errNoConfig
 	}
-	g.lines.keep(q.table)
-	// The life keeps ids apart across restarts: the ledger counts each id
-	// once, so an id used again would go unbilled.
+	g.connPools.prune(q.table)
+	// The incarnation keeps ids unique across restarts: the ledger bills each
+	// id once, so a reused id would go unbilled.
 	q.rid = fmt.Sprintf("%s-%s-%d", g.Instance, strconv.FormatInt(g.Life, 36), g.seq.Add(1))
 	q.route.ID = q.rid
 	q.route.APIKey, q.route.Session = apiKey(q.c), q.c.GetHeader(openai.HeaderSessionID)
@@ -125,9 +126,9 @@
 	return nil
 }
 
-// affinity keys a request by the start of its first message: requests that
-// share a prompt prefix share cache on an engine.
-func affinity(r openai.ChatRequest) string {
+// affinityKey is the start of the first message: requests that share a prompt
+// prefix share the prefix cache of an engine.
+func affinityKey(r openai.ChatRequest) string {
 	const prefixBytes = 256
 	if len(r.Messages) == 0 {
 		return ""
@@ -136,7 +137,7 @@
 	return s[:min(len(s), prefixBytes)]
 }
 
-// decide routes q for one model.
+// decide routes q to the back ends of one model.
 func (g *Gateway) decide(q *request, model string) (*route.Decision, *route.Refusal) {
 	q.route.Model = model
 	view := route.View{Domain: g.Domain, Endpoints: g.Endpoints}
@@ -148,46 +149,47 @@
 		return nil, ref
 	}
 	q.fingerprint = q.fingerprintFor(dec.Customer)
-	if ref := g.quarantined(q); ref != nil {
+	if ref := g.checkQuarantine(q); ref != nil {
 		return nil, ref
 	}
 	return dec, nil
 }
 
-// held is a whole answer of a cascade's step that was not good enough; it is
-// given if no later step does better.
-type held struct {
+// heldAnswer is the complete answer of a cascade step. One that scored below its
+// target is delivered if no later step does better.
+type heldAnswer struct {
 	dec   *route.Decision
-	ans   *answer
+	ans   *bufferedAnswer
 	score float64
 }
 
-// serve runs q through its steps, a single one for a plain model. A refusal
-// it returns is truthfully "not run"; everything else it answers itself.
-func (g *Gateway) serve(q *request) *route.Refusal {
+// serveChat runs the steps of q's cascade, or the single step of a plain model. A
+// refusal it returns means that the request did not run; all other responses it
+// writes itself.
+func (g *Gateway) serveChat(q *request) *route.Refusal {
 	steps := q.table.Steps(q.route.APIKey, q.name)
 	if len(steps) == 0 {
 		if _, ref := g.decide(q, q.name); ref != nil {
-			return ref // the key is unknown, or the cascade not allowed
+			return ref // unknown API key, or a cascade that the customer may not use
 		}
 	}
-	var best *held
+	var best *heldAnswer
 	var refused *route.Refusal
 	for i, st := range steps {
 		last := i == len(steps)-1
-		if !last && !g.worth(q, steps, i) {
+		if !last && !g.worthTrying(q, steps, i) {
 			continue
 		}
 		dec, ref := g.decide(q, st.Model)
 		if ref != nil {
-			refused = ref // a later step may still serve
+			refused = ref // a later step may still succeed
 			continue
 		}
 		if ref := g.open(q, dec); ref != nil {
 			return ref
 		}
 		if last {
-			return g.lastStep(q, dec, best)
+			return g.runLastStep(q, dec, best)
 		}
 		h := g.tryStep(q, dec)
 		if g.passed(q, i, st, h) {
@@ -199,8 +201,9 @@
 	return g.conclude(q, best, refused)
 }
 
-// passed reports whether a step's answer is good enough, and learns from it.
-func (g *Gateway) passed(q *request, i int, st config.Step, h *held) bool {
+// passed reports whether a step's answer reaches the minimum score, and records
+// the result in the planner.
+func (g *Gateway) passed(q *request, i int, st config.Step, h *heldAnswer) bool {
 	if h == nil || !h.rated() {
 		return false
 	}
@@ -211,23 +214,23 @@
 	return ok
 }
 
-// better returns the answer to hold on to; either may be nil.
-func better(a, b *held) *held {
+// better returns the answer with the higher score; either may be nil.
+func better(a, b *heldAnswer) *heldAnswer {
 	if a == nil || b != nil && b.score > a.score {
 		return b
 	}
 	return a
 }
 
-// worth reports whether step i of a cascade is worth trying on q.
-func (g *Gateway) worth(q *request, steps []config.Step, i int) bool {
+// worthTrying reports whether the planner expects step i of a cascade to pay off for q.
+func (g *Gateway) worthTrying(q *request, steps []config.Step, i int) bool {
 	if g.Planner == nil {
 		return true
 	}
 	return g.Planner.Worth(q.name, i, q.promptBytes(), q.table.SkipBelow(q.name, steps[i].Model, steps[i+1].Model))
 }
 
-// open bills and claims q once, before its first dispatch.
+// open claims q and opens its ledger record once, before its first dispatch.
 func (g *Gateway) open(q *request, dec *route.Decision) *route.Refusal {
 	if q.opened {
 		return nil
@@ -243,59 +246,60 @@
 	return nil
 }
 
-// tryStep runs a step whose answer is rated before the caller sees any of
-// it. It returns nil when the step gave no whole answer.
-func (g *Gateway) tryStep(q *request, dec *route.Decision) *held {
-	ans := newAnswer(q)
-	if res := g.run(q, dec, ans); res.kind != gotWhole {
+// tryStep runs a step whose answer is rated before the caller gets any of it. It
+// returns nil if the step gave no complete answer.
+func (g *Gateway) tryStep(q *request, dec *route.Decision) *heldAnswer {
+	ans := newBufferedAnswer(q)
+	if res := g.dispatch(q, dec, ans); res.kind != completeAnswer {
 		return nil
 	}
-	h := &held{dec: dec, ans: ans, score: g.rate(q, dec, ans.text())}
+	h := &heldAnswer{dec: dec, ans: ans, score: g.rate(q, dec, ans.text())}
 	g.observe(dec, q.table, h.rated(), h.score)
 	return h
 }
 
-// lastStep runs the step whose answer goes to the caller as it comes.
-func (g *Gateway) lastStep(q *request, dec *route.Decision, best *held) *route.Refusal {
+// runLastStep runs the step whose answer is relayed to the caller as it arrives.
+func (g *Gateway) runLastStep(q *request, dec *route.Decision, best *heldAnswer) *route.Refusal {
 	out := g.newOutput(q, dec)
-	res := g.run(q, dec, out)
+	res := g.dispatch(q, dec, out)
 	switch res.kind {
-	case gotWhole:
+	case completeAnswer:
 		g.settle(q, ledger.OutcomeOK)
 		out.finish()
 		g.Scope.Counter("answers").Inc(1)
-		g.judge(q, dec, out.text())
+		g.enqueueRating(q, dec, out.text())
 		return nil
-	case gotBroken:
+	case brokenAnswer:
 		g.settle(q, ledger.OutcomeUnknown)
-		out.breakOff(g.endCode(q, res.code))
+		out.abort(g.failureCode(q, res.code))
 		return nil
 	}
 	return g.conclude(q, best, nil)
 }
 
-// deliver gives the caller an answer that was held back for rating.
-func (g *Gateway) deliver(q *request, h *held, below bool) {
+// deliver sends the caller an answer that was buffered for rating.
+func (g *Gateway) deliver(q *request, h *heldAnswer, below bool) {
 	if below {
 		q.c.Header(openai.HeaderQuality, openai.QualityBelow)
 	}
 	out := g.newOutput(q, h.dec)
-	out.takeOver(h.ans)
+	out.replay(h.ans)
 	g.settle(q, ledger.OutcomeOK)
 	out.finish()
 	g.Scope.Counter("answers").Inc(1)
 }
 
-// conclude ends a request that no step answered to the target: with the best
-// answer held, else with a truthful refusal, at once.
-func (g *Gateway) conclude(q *request, best *held, refused *route.Refusal) *route.Refusal {
+// conclude ends a request for which no step reached its target: with the best
+// buffered answer, otherwise immediately with a refusal that states whether the
+// request may have run.
+func (g *Gateway) conclude(q *request, best *heldAnswer, refused *route.Refusal) *route.Refusal {
 	switch {
 	case best != nil:
 		g.deliver(q, best, true)
 		return nil
 	case q.mayHaveRun:
 		g.settle(q, ledger.OutcomeUnknown)
-		g.refuse(q.c, http.StatusGatewayTimeout, openai.OutcomeUnknown, g.endCode(q, "no_answer"), "no back end answered; one may have run the request", retryUnknown)
+		g.refuse(q.c, http.StatusGatewayTimeout, openai.OutcomeUnknown, g.failureCode(q, "no_answer"), "no back end answered; one may have run the request", retryUnknown)
 		return nil
 	}
 	if q.opened {
@@ -304,11 +308,11 @@
 			g.Bill.Drop(q.rid)
 		}
 	}
-	if cutOff(q.c) {
+	if cutByDrain(q.c) {
 		return errDraining
 	}
-	if refused == nil && q.roomIn > 0 {
-		refused = limited(q.roomIn)
+	if refused == nil && q.limitWait > 0 {
+		refused = rateLimited(q.limitWait)
 	}
 	if refused == nil {
 		refused = &route.Refusal{Code: "no_capacity", Status: http.StatusServiceUnavailable, Message: "no back end of " + q.name + " took the request", RetryAfter: noCapacityRetry}
@@ -316,8 +320,8 @@
 	return refused
 }
 
-// settle bills q exactly once: every path that ends a request that ran, or
-// may have run, calls it once, before the end of the answer is sent.
+// settle bills q. Every path that ends a request that ran, or may have run, calls
+// it exactly once, before the end of the answer is sent.
 func (g *Gateway) settle(q *request, outcome string) {
 	if g.Bill == nil {
 		return
@@ -325,10 +329,10 @@
 	g.Bill.Settle(q.c.Request.Context(), ledger.Record{RequestID: q.rid, Customer: q.customer, Uses: q.uses, Outcome: outcome})
 }
 
-// When a caller should come back.
+// Values of Retry-After.
 const (
-	// noCapacityRetry: every back end refused.
+	// noCapacityRetry applies when every back end refused.
 	noCapacityRetry = 2 * time.Second
-	// retryUnknown: no back end answered in time, or a claim is unconfirmed.
+	// retryUnknown applies when no back end answered in time, or a claim is unconfirmed.
 	retryUnknown = 2 * time.Second
 )
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -11,22 +11,22 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// claimWait bounds the KV call that claims an idempotency key.
-const claimWait = 2 * time.Second
+// claimTimeout bounds the KV call that claims an idempotency key.
+const claimTimeout = 2 * time.Second
 
-// claim holds the caller's idempotency key before a non-idempotent call, so
-// a repeat through any entry does not run again. It returns a refusal when
-// the request must not go on, and sets q.release for one that turns out not
-// to have run.
+// claim claims the caller's idempotency key before a non-idempotent call, so that
+// a repeat through any entry does not run again. It returns a refusal if the
+// request must not proceed, and sets q.release, which frees the claim of a request
+// that turns out not to have run.
 //
-// Without a key there is nothing to hold the caller to: the request still
-// runs at most once, since it is never sent again after dispatch.
+// Without a key there is nothing to claim. The request still runs at most once,
+// since it is never resent after dispatch.
 func (g *Gateway) claim(q *request, dec *route.Decision) *route.Refusal {
 	key := q.c.GetHeader(openai.HeaderIdempotencyKey)
-	if g.Claims == nil || key == "" || len(dec.Candidates) == 0 || mayRepeat(dec.Candidates[0]) {
+	if g.Claims == nil || key == "" || len(dec.Candidates) == 0 || retryable(dec.Candidates[0]) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(q.c.Request.Context(), claimWait)
+	ctx, cancel := context.WithTimeout(q.c.Request.Context(), claimTimeout)
 	defer cancel()
 	err := g.Claims.Claim(ctx, dec.Customer, key, q.rid)
 	switch {
--- a/gateway/cost_bench_test.go
+++ b/gateway/cost_bench_test.go
@@ -19,21 +19,21 @@
 	"github.com/lovageweir/lovageweir/standin/raterd"
 )
 
-// target is the score an answer must reach.
-const target = 0.7
+// targetScore is the score that an answer must reach.
+const targetScore = 0.7
 
-// skills of the two models; raterd says what they come to.
+// skills are those of the two models; raterd turns them into scores.
 var skills = map[string]float64{"cheap": 0.4, "costly": 1}
 
-// skilled rates as the rater stand-in does.
-type skilled struct{}
+// skillRater rates like the rater stand-in.
+type skillRater struct{}
 
-func (skilled) Rate(_ context.Context, a rater.Answer) (float64, error) {
+func (skillRater) Rate(_ context.Context, a rater.Answer) (float64, error) {
 	return raterd.Score(a, skills[a.Model]), nil
 }
 
-// till adds up what was billed, in the price of the model used.
-type till struct {
+// costMeter sums the billed tokens at the price of the model used.
+type costMeter struct {
 	prices map[string]config.Model
 
 	mu    sync.Mutex
@@ -42,10 +42,10 @@
 	last  ledger.Record
 }
 
-func (*till) Open(ledger.Record) {}
-func (*till) Drop(string)        {}
+func (*costMeter) Open(ledger.Record) {}
+func (*costMeter) Drop(string)        {}
 
-func (b *till) Settle(_ context.Context, r ledger.Record) {
+func (b *costMeter) Settle(_ context.Context, r ledger.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.last = r
@@ -55,28 +55,27 @@
 	}
 }
 
-// workload is the mix of requests of the users' sheets, by prompt bytes and
-// answer tokens: weighbridge questions and fault notes, lab explanations,
-// dossiers, in a fixed order.
+// workload is the users' mix of requests in a fixed order, by prompt bytes and
+// answer tokens: weighbridge questions and fault notes, lab explanations, dossiers.
 var workload = []struct{ prompt, tokens int }{{600, 24}, {600, 24}, {2500, 294}, {600, 24}, {48000, 384}, {600, 24}, {2500, 294}, {600, 24}, {48000, 384}, {600, 24}}
 
-// BenchmarkCostAtTarget plays the workload through a cascade and its
-// baselines: cost per request (in prices of a token), the share of answers
-// that reach the target, and model calls per request.
+// BenchmarkCostAtTarget runs the workload through a cascade and its baselines. It
+// reports cost per request (in prices of a token), the share of answers that reach
+// the target score, and model calls per request.
 func BenchmarkCostAtTarget(b *testing.B) {
 	for _, s := range []struct {
 		name, model string
 		planner     *cascade.Planner
 	}{{"always-cheapest", "cheap", nil}, {"always-costliest", "costly", nil}, {"cascade-every-step", "draft", nil}, {"cascade-planned", "draft", cascade.NewPlanner()}} {
-		b.Run(s.name, func(b *testing.B) { playWorkload(b, s.model, s.planner) })
+		b.Run(s.name, func(b *testing.B) { runWorkload(b, s.model, s.planner) })
 	}
 }
 
-func playWorkload(b *testing.B, model string, planner *cascade.Planner) {
+func runWorkload(b *testing.B, model string, planner *cascade.Planner) {
 	v1 := map[string]config.Version{"v1": {State: config.StateActive, Weight: 1}}
 	doc := &config.Document{
 		Models:    map[string]config.Model{"cheap": {CostPerMTok: 1, Versions: v1}, "costly": {CostPerMTok: 10, Versions: v1}},
-		Cascades:  map[string]config.Cascade{"draft": {Steps: []config.Step{{Model: "cheap", MinScore: target}, {Model: "costly"}}}},
+		Cascades:  map[string]config.Cascade{"draft": {Steps: []config.Step{{Model: "cheap", MinScore: targetScore}, {Model: "costly"}}}},
 		Customers: map[string]config.Customer{"c": {APIKeys: []string{"k"}, Allow: map[string][]string{"draft": {"*"}, "cheap": {"*"}, "costly": {"*"}}}},
 		Backends:  map[string]config.Backend{},
 	}
@@ -87,8 +86,8 @@
 		doc.Backends[m] = config.Backend{Kind: config.KindEngine, Address: strings.TrimPrefix(srv.URL, "http://"), Domain: "fd-1", Model: m, Version: "v1"}
 	}
 	d := testDeps(doc, clockwork.NewRealClock())
-	bill := &till{prices: doc.Models}
-	d.Rater, d.Planner, d.Bill = skilled{}, planner, bill
+	bill := &costMeter{prices: doc.Models}
+	d.Rater, d.Planner, d.Bill = skillRater{}, planner, bill
 	g := New(d)
 	met := 0
 	for i := range b.N {
@@ -101,7 +100,7 @@
 			b.Fatal(rec.Code, rec.Body)
 		}
 		used := bill.last.Uses[len(bill.last.Uses)-1].Model
-		if raterd.Score(rater.Answer{RequestID: bill.last.RequestID, Prompt: prompt}, skills[used]) >= target {
+		if raterd.Score(rater.Answer{RequestID: bill.last.RequestID, Prompt: prompt}, skills[used]) >= targetScore {
 			met++
 		}
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -9,11 +9,11 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// restartTakes is how long a back end that crashed takes to serve again under its name:
-// crashes of one within this time are the same.
-const restartTakes = 10 * time.Second
+// restartWindow is how long a crashed back end takes to serve again under its name.
+// Crashes of one back end in the same window count as one.
+const restartWindow = 10 * time.Second
 
-// fingerprintFor identifies what a customer asks for, whichever attempt it is.
+// fingerprintFor identifies the content of a customer's request; repeats of it have the same fingerprint.
 func (q *request) fingerprintFor(customer string) quarantine.Fingerprint {
 	path := chatPath
 	if q.service != nil {
@@ -22,8 +22,8 @@
 	return quarantine.Of(customer, http.MethodPost, "", path, q.body)
 }
 
-// quarantined refuses a request that crashes back ends.
-func (g *Gateway) quarantined(q *request) *route.Refusal {
+// checkQuarantine refuses a request that is quarantined for crashing back ends.
+func (g *Gateway) checkQuarantine(q *request) *route.Refusal {
 	if g.Quarantine == nil {
 		return nil
 	}
@@ -34,17 +34,17 @@
 	return &route.Refusal{Code: "quarantined", Status: http.StatusServiceUnavailable, Message: "back ends crashed under this request", RetryAfter: v.For}
 }
 
-// noteCrash notes a try that failed, if its back end crashed.
-func (g *Gateway) noteCrash(q *request, b route.BackendInfo, a attempt) {
-	if g.Quarantine == nil || a.notRun || a.silent || !g.probes.Ended(b.Address) {
+// recordCrash reports a failed attempt to the quarantine if its back end crashed.
+func (g *Gateway) recordCrash(q *request, b route.BackendInfo, a attempt) {
+	if g.Quarantine == nil || a.notRun || a.timedOut || !g.probes.Ended(b.Address) {
 		return
 	}
-	epoch := g.Clock.Now().Truncate(restartTakes).UnixMilli()
-	g.Log.Warn("gateway: back end crashed under a request.", "backend", b.Name, "request", q.rid, "fingerprint", q.fingerprint.String(), "stage", a.stage().String())
+	epoch := g.Clock.Now().Truncate(restartWindow).UnixMilli()
+	g.Log.Warn("gateway: back end crashed while handling a request.", "backend", b.Name, "request", q.rid, "fingerprint", q.fingerprint.String(), "stage", a.stage().String())
 	g.Quarantine.Crashed(q.fingerprint, fleet.IncarnationID(b.Name, epoch), a.stage())
 }
 
-// stage is how far a failed try had come.
+// stage is how far a failed attempt had got.
 func (a attempt) stage() quarantine.Stage {
 	switch {
 	case a.tokens > 0:
@@ -55,8 +55,8 @@
 	return quarantine.Waiting
 }
 
-// served notes that a request was answered whole.
-func (g *Gateway) served(q *request) {
+// recordServed reports to the quarantine that a request was answered completely.
+func (g *Gateway) recordServed(q *request) {
 	if g.Quarantine != nil {
 		g.Quarantine.Served(q.fingerprint)
 	}
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -21,8 +21,8 @@
 
 const poisonPrompt = "a prompt that crashes engines"
 
-// startCrashing starts an engine that ends when it runs the poison prompt.
-func startCrashing(t *testing.T, crashes *atomic.Int64) string {
+// startCrashingEngine starts an engine that crashes when it runs the poison prompt.
+func startCrashingEngine(t *testing.T, crashes *atomic.Int64) string {
 	t.Helper()
 	e := engine.New(engine.Settings{Model: "m", Version: "v1"}, slog.New(slog.DiscardHandler)).Handler()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,21 +31,21 @@
 	}
 	srv := &http.Server{}
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // one that is cut off holds no poison
+		body, _ := io.ReadAll(r.Body) // a truncated body does not hold the poison prompt
 		if bytes.Contains(body, []byte(poisonPrompt)) {
 			crashes.Add(1)
-			_ = srv.Close() // its connections are to be cut
+			_ = srv.Close() // cuts its connections
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		e.ServeHTTP(w, r)
 	})
-	go func() { _ = srv.Serve(ln) }() // it ends with the server
+	go func() { _ = srv.Serve(ln) }() // returns when the server closes
 	t.Cleanup(func() { _ = srv.Close() })
 	return ln.Addr().String()
 }
 
-func prompt(t *testing.T, srv *httptest.Server, text string, stream bool) *http.Response {
+func postPrompt(t *testing.T, srv *httptest.Server, text string, stream bool) *http.Response {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, stream, text)
 	req, err := http.NewRequest(http.MethodPost, srv.URL+chatPath, strings.NewReader(body))
@@ -61,7 +61,8 @@
 	return resp
 }
 
-// Guards against a prompt that crashes the engines that run it being sent to one after the other.
+// Guards against a prompt that crashes the engines that run it being sent to one
+// engine after the other.
 func TestARequestThatCrashesBackEndsIsQuarantined(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		is := is.New(t)
@@ -69,27 +70,27 @@
 		var crashes atomic.Int64
 		var engines []backendSpec
 		for n := range 12 {
-			engines = append(engines, backendSpec{name: fmt.Sprintf("b%d", n), domain: "fd-1", kind: "engine", addr: startCrashing(t, &crashes)})
+			engines = append(engines, backendSpec{name: fmt.Sprintf("b%d", n), domain: "fd-1", kind: "engine", addr: startCrashingEngine(t, &crashes)})
 		}
 		var servers []*httptest.Server
 		var tables []*quarantine.Table
 		for range 3 {
-			d := testDeps(oneModel(engines...), fc)
+			d := testDeps(oneModelConfig(engines...), fc)
 			d.Quarantine = quarantine.New(quarantine.Deps{Clock: fc, Log: d.Log})
 			servers, tables = append(servers, serveGateway(t, d)), append(tables, d.Quarantine)
 		}
 		var last *http.Response
 		for i := range 12 {
-			last = prompt(t, servers[i%3], poisonPrompt, stream)
+			last = postPrompt(t, servers[i%3], poisonPrompt, stream)
 			for _, from := range tables {
 				for _, to := range tables {
 					to.Hear(from.Tell())
 				}
 			}
 		}
-		is.True(crashes.Load() <= 6) // three until it is known, and three more
+		is.True(crashes.Load() <= 6) // three until it is quarantined, and three more
 		is.Equal(last.StatusCode, http.StatusServiceUnavailable)
 		is.True(last.Header.Get("Retry-After") != "")
-		is.Equal(prompt(t, servers[0], "hello", stream).StatusCode, http.StatusOK)
+		is.Equal(postPrompt(t, servers[0], "hello", stream).StatusCode, http.StatusOK)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,18 +26,18 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Tables gives the table in force; configwatch.Watcher implements it.
+// Tables provides the routing table in force; configwatch.Watcher implements it.
 type Tables interface {
 	Table() *route.Table
-	// Refresh brings the table up to date first when it may be old, as after
-	// a pause; it returns shortly in any case.
+	// Refresh updates the table if it may be stale, as after a pause of the process.
+	// It returns within a short time in any case.
 	Refresh(ctx context.Context)
 }
 
 // Biller bills each request that ran; ledger.Ledger implements it.
 type Biller interface {
-	// Open notes a request about to be dispatched; Settle bills it, Drop
-	// forgets it because it did not run.
+	// Open records a request before its dispatch; Settle bills it, Drop discards
+	// the record because the request did not run.
 	Open(ledger.Record)
 	Settle(context.Context, ledger.Record)
 	Drop(requestID string)
@@ -47,46 +47,46 @@
 // idem.Claims implements it.
 type Claimer interface {
 	Claim(ctx context.Context, customer, key, rid string) error
-	// Release gives back the claim of a request that did not run.
+	// Release releases the claim of a request that did not run.
 	Release(customer, key, rid string)
 }
 
-// Guard counts the answers of guarded versions and knows which were halted;
+// Guard counts the answers of guarded versions and tracks which are halted;
 // guard.Guard implements it.
 type Guard interface {
 	route.Halts
 	Observe(subject string, bad bool)
 }
 
-// Timeouts bound a call to a back end. FirstToken catches a connection that
-// went silent for good: without it a caller would wait forever with nothing
-// coming back. Idle bounds the gap between streamed tokens; Whole bounds a
-// call whose answer is not streamed.
+// Timeouts bound a call to a back end. FirstToken detects half-open connections,
+// on which a caller would otherwise wait forever. Idle bounds the gap between
+// streamed tokens; Whole bounds a call whose answer is not streamed.
 type Timeouts struct {
 	FirstToken time.Duration
 	Idle       time.Duration
 	Whole      time.Duration
 }
 
-// Deps is what a gateway is made of. Fields marked optional may be nil.
+// Deps are the dependencies of a Gateway. Fields marked optional may be nil.
 type Deps struct {
 	Instance  string
-	Life      int64 // this run of the process; makes request ids unique
+	Life      int64 // incarnation of the process; makes request ids unique across restarts
 	Domain    string
 	Tables    Tables
 	Endpoints *endpoints.Table
-	Keys      *session.Keyring // optional: sessions are then pinned by hash only
-	Bill      Biller           // optional: nothing is billed
-	Claims    Claimer          // optional: idempotency keys are not claimed
-	Guard     Guard            // optional: no version is guarded
-	Rater     rater.Rater      // optional: answers are not rated
-	Planner   *cascade.Planner // optional: every step of a cascade is tried
-	Gate      *drain.Gate      // optional: no stop is planned
-	// Quarantine knows the requests that crash back ends; optional: none does.
+	Keys      *session.Keyring // optional: without it, sessions are pinned by hash only
+	Bill      Biller           // optional: without it, nothing is billed
+	Claims    Claimer          // optional: without it, idempotency keys are not claimed
+	Guard     Guard            // optional: without it, no version is guarded
+	Rater     rater.Rater      // optional: without it, answers are not rated
+	Planner   *cascade.Planner // optional: without it, every step of a cascade is tried
+	Gate      *drain.Gate      // optional: without it, the gateway never drains
+	// Quarantine tracks requests that crash back ends; optional: without it, none is
+	// quarantined.
 	Quarantine *quarantine.Table
-	// Limits are those that back ends name; optional: they are not kept. HoldsLimit
-	// reports whether this entry is the one of its failure domain that uses a back end
-	// which names one.
+	// Limits are the rate limits that back ends advertise; optional: without it, they are
+	// not enforced. HoldsLimit reports whether this entry is the one of its failure domain
+	// that may use a rate-limited back end.
 	Limits     *ratelimit.Limits
 	HoldsLimit func(backend string) bool
 	Timeouts   Timeouts
@@ -98,30 +98,30 @@
 // Gateway serves the caller API.
 type Gateway struct {
 	Deps
-	lines   *lines
-	probes  upstream.Probes
-	budget  *retryBudget
-	ratings chan rating
+	connPools *connPools
+	probes    upstream.Probes
+	budget    *retryBudget
+	ratings   chan rating
 
 	seq atomic.Uint64
 }
 
-// New returns a gateway.
+// New returns a Gateway with dependencies d.
 func New(d Deps) *Gateway {
 	if d.Gate == nil {
 		d.Gate = drain.NewGate(d.Clock)
 	}
-	return &Gateway{Deps: d, lines: newLines(), budget: newRetryBudget(), ratings: make(chan rating, ratingQueue)}
+	return &Gateway{Deps: d, connPools: newConnPools(), budget: newRetryBudget(), ratings: make(chan rating, ratingQueueSize)}
 }
 
-// Register adds the caller API to r.
+// Register adds the routes of the caller API to r.
 func (g *Gateway) Register(r gin.IRoutes) {
 	r.POST(chatPath, g.admit(g.chat))
 	r.POST(ServicePrefix+":name/*path", g.admit(g.service))
 }
 
-// refuse answers a request that gets no answer. The outcome must be true,
-// and retry, when not zero, tells the caller when to come back.
+// refuse sends an error response. The outcome must state truthfully whether the
+// request ran; a retry other than zero is sent as Retry-After.
 func (g *Gateway) refuse(c *gin.Context, status int, outcome, code, msg string, retry time.Duration) {
 	body := openai.ErrorBody{Error: openai.ErrorDetail{Type: outcome, Code: code, Message: msg}}
 	if retry > 0 {
@@ -130,7 +130,7 @@
 		body.Error.RetryAfterSeconds = secs
 	}
 	g.Scope.Tagged(map[string]string{"outcome": outcome, "code": code}).Counter("refusals").Inc(1)
-	g.lastIfStopping(c)
+	g.closeConnIfStopping(c)
 	c.AbortWithStatusJSON(status, body)
 }
 
@@ -138,7 +138,7 @@
 	g.refuse(c, r.Status, openai.OutcomeNotRun, r.Code, r.Message, r.RetryAfter)
 }
 
-// Refusals made here, before anything is sent to a back end.
+// Refusals issued before anything is sent to a back end.
 var (
 	errDraining = &route.Refusal{Code: "draining", Status: http.StatusServiceUnavailable,
 		Message: "this entry is shutting down; any other entry will serve you", RetryAfter: time.Second}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -27,9 +27,9 @@
 
 const (
 	testFirstToken = 3 * time.Second
-	// callerGuard only stops a broken test from hanging; the verdict comes
-	// from the fake clock, not from this wait.
-	callerGuard = 10 * time.Second
+	// testTimeout only keeps a broken test from hanging; the result depends on the
+	// fake clock, not on this wait.
+	testTimeout = 10 * time.Second
 )
 
 type fixedTables struct{ t *route.Table }
@@ -41,9 +41,9 @@
 	name, domain, kind, addr string
 }
 
-// oneModel is a configuration in which customer c may use m@v1, served by
+// oneModelConfig is a configuration in which customer c may use m@v1, served by
 // backends.
-func oneModel(backends ...backendSpec) *config.Document {
+func oneModelConfig(backends ...backendSpec) *config.Document {
 	doc := &config.Document{
 		Models:    map[string]config.Model{"m": {Versions: map[string]config.Version{"v1": {State: config.StateActive, Weight: 1}}}},
 		Customers: map[string]config.Customer{"c": {APIKeys: []string{"k"}, Allow: map[string][]string{"m": {"*"}}}},
@@ -55,12 +55,12 @@
 	return doc
 }
 
-// newTestGateway serves a gateway in fd-1 over the given back ends of m@v1.
+// newTestGateway serves a gateway in fd-1 with the given back ends of m@v1.
 func newTestGateway(t *testing.T, fc clockwork.Clock, backends ...backendSpec) *httptest.Server {
-	return serveGateway(t, testDeps(oneModel(backends...), fc))
+	return serveGateway(t, testDeps(oneModelConfig(backends...), fc))
 }
 
-// testDeps are the parts of a gateway in fd-1 under doc.
+// testDeps are the dependencies of a gateway in fd-1 with configuration doc.
 func testDeps(doc *config.Document, fc clockwork.Clock) Deps {
 	return Deps{Instance: "e1", Life: 1, Domain: "fd-1", Tables: fixedTables{route.NewTable(1, doc)}, Endpoints: endpoints.NewTable(fc),
 		Timeouts: Timeouts{FirstToken: testFirstToken, Idle: testFirstToken, Whole: testFirstToken}, Clock: fc,
@@ -99,7 +99,7 @@
 	body   string
 }
 
-// ask sends a request in the background; the fake clock drives it.
+// ask sends a request in the background, so that the test can advance the fake clock.
 func ask(srv *httptest.Server, stream bool) <-chan reply { return askModel(srv, "m", stream) }
 
 func askModel(srv *httptest.Server, model string, stream bool) <-chan reply {
@@ -125,31 +125,28 @@
 	select {
 	case a := <-ch:
 		return a
-	case <-time.After(callerGuard):
-		t.Fatal("the caller is still waiting after the first-token timeout passed: silence")
+	case <-time.After(testTimeout):
+		t.Fatal("the caller got no response after the first-token timeout")
 		return reply{}
 	}
 }
 
-// advancePastFirstToken waits until a watchdog is armed, then moves the
-// fake clock past the first-token timeout.
+// advancePastFirstToken waits until a watchdog is armed, then advances the fake
+// clock past the first-token timeout.
 func advancePastFirstToken(t *testing.T, fc *clockwork.FakeClock) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), callerGuard)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := fc.BlockUntilContext(ctx, 1); err != nil {
-		t.Fatal("no watchdog was armed for the call: a silent back end would hold the caller forever")
+		t.Fatal("no watchdog was armed for the call: with a silent back end the caller would wait forever")
 	}
 	fc.Advance(testFirstToken + time.Millisecond)
 }
 
-// TestSilentEngineIsRetriedElsewhere: symptom: a caller waits forever with
-// nothing coming back. Sequence: the entry sends a streamed request to an
-// engine whose connection has gone silent for good (it accepts and never
-// answers); a healthy engine exists in another failure domain. Cause: no
-// first-token timeout, so the call never ends. Here the watchdog gives up
-// at the first-token timeout, and since nothing reached the caller and an
-// engine may be asked again, the next engine answers whole.
+// Guards against a caller that waits forever because an engine accepts a streamed
+// request and never answers. The watchdog must end the call at the first-token
+// timeout. Since nothing has reached the caller and requests to engines may be
+// repeated, the healthy engine in another failure domain must then answer.
 func TestSilentEngineIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
@@ -161,16 +158,13 @@
 	a := await(t, ch)
 	is.Equal(a.status, http.StatusOK)
 	is.Equal(a.header.Get(openai.HeaderBackend), "healthy")
-	is.True(strings.Contains(a.body, "data: [DONE]")) // whole answer
+	is.True(strings.Contains(a.body, "data: [DONE]")) // complete answer
 }
 
-// TestSilentServiceIsNotRepeated: symptom: a pallet posting runs twice, or
-// the caller hears nothing. Sequence: the only back end is a plain,
-// non-idempotent service whose connection goes silent after the request
-// was sent. Cause: retrying would risk a second posting; waiting would be
-// silence. Here the entry answers at the first-token timeout, truthfully
-// outcome_unknown (the posting may have run), with Retry-After, and sends
-// the request nowhere else.
+// Guards against a pallet posting that runs twice, or a caller that waits forever,
+// when the connection to a non-idempotent service goes silent after the request
+// was sent. The entry must answer outcome_unknown with Retry-After at the
+// first-token timeout, as the posting may have run, and send it nowhere else.
 func TestSilentServiceIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
@@ -179,8 +173,8 @@
 	silentService := func() string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
-			// Read the body: only then does net/http notice the caller
-			// hanging up and end r.Context().
+			// net/http detects a disconnect of the caller, and ends
+			// r.Context(), only once the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			received <- struct{}{}
 			<-r.Context().Done()
@@ -193,8 +187,8 @@
 		backendSpec{"posting-2", "fd-1", config.KindService, silentService()})
 	ch := ask(srv, false)
 	select {
-	case <-received: // the posting has reached a service: it may now run
-	case <-time.After(callerGuard):
+	case <-received: // the request has reached a service and may run
+	case <-time.After(testTimeout):
 		t.Fatal("the request never reached the service")
 	}
 	advancePastFirstToken(t, fc)
@@ -203,16 +197,14 @@
 	var body openai.ErrorBody
 	is.NoErr(json.Unmarshal([]byte(a.body), &body))
 	is.Equal(body.Error.Type, openai.OutcomeUnknown) // never "not run": it may have run
-	is.True(a.header.Get("Retry-After") != "")       // told when to come back, at once
+	is.True(a.header.Get("Retry-After") != "")       // told when to retry
 	is.Equal(calls.Load(), int32(1))                 // at most once
 }
 
-// TestChunkOfAnotherRequestIsNeverRelayed: symptom: a caller reads part of
-// someone else's answer. Sequence: a back end (through a bug or a mixed-up
-// connection) streams a chunk whose id is another request's. Cause: a relay
-// that copies bytes blindly. Here every chunk's id is checked against the
-// request's; the stream is cut in band with outcome_unknown and the
-// foreign chunk never reaches the caller.
+// Guards against a caller reading part of another caller's answer because a back
+// end, through a bug or a mixed-up connection, streams a chunk with another
+// request's id. Every chunk's id must be checked; the stream must end in band with
+// outcome_unknown, and the other request's chunk must not be relayed.
 func TestChunkOfAnotherRequestIsNeverRelayed(t *testing.T) {
 	is := is.New(t)
 	mixed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -228,5 +220,5 @@
 	is.True(strings.Contains(a.body, "mine"))
 	is.True(!strings.Contains(a.body, "SECRET"))
 	is.True(strings.Contains(a.body, "mismatched_chunk"))
-	is.True(!strings.Contains(a.body, "[DONE]")) // not presented as whole
+	is.True(!strings.Contains(a.body, "[DONE]")) // not presented as complete
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -10,25 +10,25 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// holderTakes is when a request that is left to the entry that uses a limited back end
-// may be taken by it, or by another back end.
-const holderTakes = time.Second
+// holderRetry is the retry delay for a request whose rate-limited back end only another
+// entry may use; that entry or another back end may serve it then.
+const holderRetry = time.Second
 
-// limitedEndpoint is a back end as limits know it.
+// limitedEndpoint converts a back end to the key that package ratelimit uses.
 func limitedEndpoint(b route.BackendInfo) fleet.Endpoint {
 	return fleet.Endpoint{ID: fleet.EndpointID(b.Name), Domain: b.Domain}
 }
 
-// room takes a request from the limit that a back end names, if it names one, and returns
-// how long until it has room if it has none now. One entry of the back end's failure
-// domain uses all of the limit: entries hear of each other too seldom to share it.
-func (g *Gateway) room(b route.BackendInfo) (wait time.Duration) {
+// acquireLimit takes one request from the rate limit of b, if it advertises one, and
+// returns how long to wait if none is left. A single entry of the back end's failure
+// domain uses the whole limit: entries exchange state too seldom to share it.
+func (g *Gateway) acquireLimit(b route.BackendInfo) (wait time.Duration) {
 	if g.Limits == nil || !g.Limits.Any() {
 		return 0
 	}
 	ep := limitedEndpoint(b)
 	if g.Limits.Limit(ep) > 0 && !(b.Domain == g.Domain && g.HoldsLimit(b.Name)) {
-		return holderTakes
+		return holderRetry
 	}
 	if g.Limits.Take(ep, 0) {
 		return 0
@@ -36,14 +36,14 @@
 	return max(g.Limits.Wait(ep, 0), time.Millisecond)
 }
 
-// noteLimit notes what an answer says of its back end's limit.
-func (g *Gateway) noteLimit(b route.BackendInfo, h http.Header) {
+// recordLimit records the rate limit advertised in the headers of an answer.
+func (g *Gateway) recordLimit(b route.BackendInfo, h http.Header) {
 	if g.Limits != nil {
 		g.Limits.Named(limitedEndpoint(b), ratelimit.Parse(h.Get(openai.HeaderRateLimit)))
 	}
 }
 
-// limited refuses a request whose back ends are all at the limits that they name.
-func limited(again time.Duration) *route.Refusal {
-	return &route.Refusal{Code: "rate_limited", Status: http.StatusServiceUnavailable, Message: "all back ends are at the limits that they name", RetryAfter: again}
+// rateLimited refuses a request whose back ends are all at their advertised rate limits.
+func rateLimited(retryAfter time.Duration) *route.Refusal {
+	return &route.Refusal{Code: "rate_limited", Status: http.StatusServiceUnavailable, Message: "all back ends are at the limits that they name", RetryAfter: retryAfter}
 }
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -19,8 +19,8 @@
 	"github.com/lovageweir/lovageweir/standin/engine"
 )
 
-// startLimited starts an engine that names a limit, and counts what it gets.
-func startLimited(t *testing.T, limit string, got *atomic.Int64) string {
+// startLimitedEngine starts an engine that advertises a rate limit, and counts its requests.
+func startLimitedEngine(t *testing.T, limit string, got *atomic.Int64) string {
 	t.Helper()
 	e := engine.New(engine.Settings{Model: "m", Version: "v1"}, slog.New(slog.DiscardHandler)).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,27 +34,28 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// Guards against a back end that names a limit getting its limit from each entry, and against limits left unused.
+// Guards against each entry using the whole rate limit of a back end, and against
+// a rate limit that is left unused.
 func TestABackEndsLimitIsUsedByOneEntry(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
-	const limit, lasts = 2.0, 20 * time.Second
+	const limit, duration = 2.0, 20 * time.Second
 	var limitedGot, otherGot atomic.Int64
 	backends := []backendSpec{
-		{name: "b0", domain: "fd-1", kind: "engine", addr: startLimited(t, fmt.Sprint(limit), &limitedGot)},
-		{name: "b1", domain: "fd-1", kind: "engine", addr: startLimited(t, "", &otherGot)},
+		{name: "b0", domain: "fd-1", kind: "engine", addr: startLimitedEngine(t, fmt.Sprint(limit), &limitedGot)},
+		{name: "b1", domain: "fd-1", kind: "engine", addr: startLimitedEngine(t, "", &otherGot)},
 	}
 	var servers []*httptest.Server
 	var limits []*ratelimit.Limits
 	for n := range 3 {
-		d := testDeps(oneModel(backends...), fc)
+		d := testDeps(oneModelConfig(backends...), fc)
 		d.Limits = ratelimit.New(ratelimit.Deps{Entries: func() []fleet.Entry { return nil }, Clock: fc, Log: d.Log})
 		d.HoldsLimit = func(string) bool { return n == 0 }
 		servers, limits = append(servers, serveGateway(t, d)), append(limits, d.Limits)
 	}
 	served := 0
-	for i := range int(lasts / (50 * time.Millisecond)) {
-		if prompt(t, servers[i%3], fmt.Sprint("prompt ", i), false).StatusCode == http.StatusOK {
+	for i := range int(duration / (50 * time.Millisecond)) {
+		if postPrompt(t, servers[i%3], fmt.Sprint("prompt ", i), false).StatusCode == http.StatusOK {
 			served++
 		}
 		for _, l := range limits {
@@ -62,24 +63,25 @@
 		}
 		fc.Advance(50 * time.Millisecond)
 	}
-	most := limit*lasts.Seconds() + 5
-	is.True(float64(limitedGot.Load()) <= most)
-	is.True(float64(limitedGot.Load()) >= 0.8*limit*lasts.Seconds())
-	is.Equal(int64(served), limitedGot.Load()+otherGot.Load()) // the other has room for the rest
+	maxRequests := limit*duration.Seconds() + 5
+	is.True(float64(limitedGot.Load()) <= maxRequests)
+	is.True(float64(limitedGot.Load()) >= 0.8*limit*duration.Seconds())
+	is.Equal(int64(served), limitedGot.Load()+otherGot.Load()) // the other back end serves the rest
 }
 
-// Guards against requests tried in vain, or refused without a time, while all back ends are at their limits.
+// Guards against requests that are sent in vain, or refused without Retry-After,
+// while all back ends are at their rate limits.
 func TestRequestsBeyondAllBackEndsLimitsAreRefused(t *testing.T) {
 	is := is.New(t)
 	fc := clockwork.NewFakeClock()
 	var got atomic.Int64
-	d := testDeps(oneModel(backendSpec{name: "b0", domain: "fd-1", kind: "engine", addr: startLimited(t, "0.5", &got)}), fc)
+	d := testDeps(oneModelConfig(backendSpec{name: "b0", domain: "fd-1", kind: "engine", addr: startLimitedEngine(t, "0.5", &got)}), fc)
 	d.Limits = ratelimit.New(ratelimit.Deps{Entries: func() []fleet.Entry { return nil }, Clock: fc, Log: d.Log})
 	d.HoldsLimit = func(string) bool { return true }
 	srv := serveGateway(t, d)
 	var last *http.Response
 	for range 10 {
-		last = prompt(t, srv, "hi", false)
+		last = postPrompt(t, srv, "hi", false)
 	}
 	is.Equal(last.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(last.Header.Get("Retry-After"), "2")
--- a/gateway/matrix_test.go
+++ b/gateway/matrix_test.go
@@ -17,58 +17,58 @@
 	"github.com/lovageweir/lovageweir/openai"
 )
 
-// handClock is a fake clock whose watchdogs fire when the test says so, so
-// that no verdict hangs on how fast the machine is.
-type handClock struct {
+// manualClock is a fake clock whose watchdogs fire when the test calls fire, so
+// that no result depends on the speed of the machine.
+type manualClock struct {
 	*clockwork.FakeClock
 	mu   sync.Mutex
-	last *handTimer
+	last *manualTimer
 }
 
-type handTimer struct {
+type manualTimer struct {
 	f       func()
 	stopped bool
 }
 
-func (*handTimer) Chan() <-chan time.Time   { return nil }
-func (*handTimer) Reset(time.Duration) bool { return true }
-func (t *handTimer) Stop() bool             { t.stopped = true; return true }
+func (*manualTimer) Chan() <-chan time.Time   { return nil }
+func (*manualTimer) Reset(time.Duration) bool { return true }
+func (t *manualTimer) Stop() bool             { t.stopped = true; return true }
 
-func (c *handClock) AfterFunc(_ time.Duration, f func()) clockwork.Timer {
+func (c *manualClock) AfterFunc(_ time.Duration, f func()) clockwork.Timer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = &handTimer{f: f}
+	c.last = &manualTimer{f: f}
 	return c.last
 }
 
-// fire ends the wait for the back end that is being called now.
-func (c *handClock) fire() {
+// fire runs the watchdog of the current call to a back end.
+func (c *manualClock) fire() {
 	c.mu.Lock()
 	t := c.last
 	c.mu.Unlock()
 	t.f()
 }
 
-// fault is what a back end does with a request.
+// fault is the behaviour of a back end towards a request.
 type fault struct {
-	name  string
-	runs  bool // the request is begun
-	whole bool // a whole, right answer is given
-	serve func(w http.ResponseWriter, r *http.Request, b *faultyBackend)
+	name     string
+	runs     bool // the request is started
+	complete bool // a complete and correct answer is given
+	serve    func(w http.ResponseWriter, r *http.Request, b *faultyBackend)
 }
 
 const matrixTokens = 4
 
-// nobody is an address where nothing listens: a port that was free a moment
-// ago would not do, another test's server may have it by now.
-const nobody = "127.0.0.1:1"
+// closedAddress is an address where nothing listens. A port that was free a moment
+// ago would not do: another test's server may have it by now.
+const closedAddress = "127.0.0.1:1"
 
-func refuse(status int) func(http.ResponseWriter, *http.Request, *faultyBackend) {
+func respondStatus(status int) func(http.ResponseWriter, *http.Request, *faultyBackend) {
 	return func(w http.ResponseWriter, _ *http.Request, _ *faultyBackend) { w.WriteHeader(status) }
 }
 
-// partly streams n chunks and then does end.
-func partly(n int, end func(w http.ResponseWriter, r *http.Request, b *faultyBackend)) func(http.ResponseWriter, *http.Request, *faultyBackend) {
+// streamThen streams n chunks and then calls end.
+func streamThen(n int, end func(w http.ResponseWriter, r *http.Request, b *faultyBackend)) func(http.ResponseWriter, *http.Request, *faultyBackend) {
 	return func(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
 		for i := range n {
 			b.chunk(w, r.Header.Get(openai.HeaderRequestID), "m@v1", i)
@@ -77,53 +77,52 @@
 	}
 }
 
-func cut(http.ResponseWriter, *http.Request, *faultyBackend) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request, *faultyBackend) { panic(http.ErrAbortHandler) }
 
-func silent(_ http.ResponseWriter, r *http.Request, b *faultyBackend) {
+func stall(_ http.ResponseWriter, r *http.Request, b *faultyBackend) {
 	b.clock.fire()
 	<-r.Context().Done()
 }
 
-func foreign(w http.ResponseWriter, _ *http.Request, b *faultyBackend) {
+func otherRequestChunk(w http.ResponseWriter, _ *http.Request, b *faultyBackend) {
 	b.chunk(w, "someone-else", "m@v1", 99)
 	b.done(w, "someone-else", "m@v1")
 }
 
-func wrongVersion(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
+func otherVersionChunk(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
 	rid := r.Header.Get(openai.HeaderRequestID)
 	b.chunk(w, rid, "m@v2", 99)
 	b.done(w, rid, "m@v2")
 }
 
 var faults = []fault{
-	{"none", true, true, partly(matrixTokens, func(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
+	{"none", true, true, streamThen(matrixTokens, func(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
 		b.done(w, r.Header.Get(openai.HeaderRequestID), "m@v1")
 	})},
 	{"dial-refused", false, false, nil},
-	{"full-429", false, false, refuse(http.StatusTooManyRequests)},
-	{"leaving-503", false, false, refuse(http.StatusServiceUnavailable)},
-	{"other-version-404", false, false, refuse(http.StatusNotFound)},
-	{"failed-500", true, false, refuse(http.StatusInternalServerError)},
-	{"silent-at-once", true, false, silent},
-	{"cut-at-once", true, false, cut},
-	{"silent-midway", true, false, partly(2, silent)},
-	{"cut-midway", true, false, partly(2, cut)},
-	{"foreign-chunk", true, false, partly(2, foreign)},
-	{"wrong-version", true, false, wrongVersion},
+	{"full-429", false, false, respondStatus(http.StatusTooManyRequests)},
+	{"leaving-503", false, false, respondStatus(http.StatusServiceUnavailable)},
+	{"other-version-404", false, false, respondStatus(http.StatusNotFound)},
+	{"failed-500", true, false, respondStatus(http.StatusInternalServerError)},
+	{"silent-at-once", true, false, stall},
+	{"cut-at-once", true, false, abortConnection},
+	{"silent-midway", true, false, streamThen(2, stall)},
+	{"cut-midway", true, false, streamThen(2, abortConnection)},
+	{"foreign-chunk", true, false, streamThen(2, otherRequestChunk)},
+	{"wrong-version", true, false, otherVersionChunk},
 }
 
-// faultyBackend is one back end with one fault. It answers streamed or whole
-// as it is asked.
+// faultyBackend is a back end with one fault. Engines answer streamed, services not.
 type faultyBackend struct {
 	fault fault
-	clock *handClock
+	clock *manualClock
 
 	mu   sync.Mutex
 	ran  int
 	kind string
 }
 
-func (b *faultyBackend) begun() int {
+func (b *faultyBackend) started() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ran
@@ -133,7 +132,7 @@
 	buf := make([]byte, 1<<16)
 	for {
 		if _, err := r.Body.Read(buf); err != nil {
-			break // net/http notices a caller hanging up only after the body
+			break // net/http detects a disconnect only after the body is read
 		}
 	}
 	if b.fault.runs {
@@ -162,43 +161,45 @@
 
 func (b *faultyBackend) start(t *testing.T) string {
 	if b.fault.serve == nil {
-		return nobody
+		return closedAddress
 	}
 	s := httptest.NewServer(b)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// books records what was billed.
-type books struct {
+// fakeLedger records what was billed.
+type fakeLedger struct {
 	mu      sync.Mutex
 	open    map[string]bool
 	settled map[string]int
 	uses    []string // models, in order
 }
 
-func newBooks() *books { return &books{open: map[string]bool{}, settled: map[string]int{}} }
+func newFakeLedger() *fakeLedger {
+	return &fakeLedger{open: map[string]bool{}, settled: map[string]int{}}
+}
 
-// counts are requests billed and requests still open.
-func (b *books) counts() (settled, open int) {
+// counts returns the number of requests that were billed and that are still open.
+func (b *fakeLedger) counts() (settled, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.settled), len(b.open)
 }
 
-func (b *books) models() string {
+func (b *fakeLedger) models() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Join(b.uses, " ")
 }
 
-func (b *books) Open(r ledger.Record) {
+func (b *fakeLedger) Open(r ledger.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open[r.RequestID] = true
 }
 
-func (b *books) Settle(_ context.Context, r ledger.Record) {
+func (b *fakeLedger) Settle(_ context.Context, r ledger.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, r.RequestID)
@@ -208,19 +209,19 @@
 	}
 }
 
-func (b *books) Drop(rid string) {
+func (b *fakeLedger) Drop(rid string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, rid)
 }
 
-// TestFaultMatrix: invariants 4 to 7 and the promise of no silence, with
-// every fault of the first back end against every fault of the second, for
-// engines asked to stream, engines asked for a whole answer, and services
-// that may not be repeated. Symptoms it guards against: a caller left
-// waiting; half an answer that looks whole; another's answer; "not run" for
-// what ran; a posting that ran twice; a request billed twice, not at all
-// though it ran, or billed though it did not.
+// TestFaultMatrix runs every fault of the first back end against every fault of the
+// second, for engines with streaming and non-streaming callers and for services that
+// may not be repeated (invariants 4 to 7, and that no caller is left without a response).
+// It guards against a caller left waiting; a truncated answer that looks complete;
+// another request's answer; "not run" for a request that ran; a posting that ran
+// twice; a request billed twice, not billed though it ran, or billed though it did
+// not.
 func TestFaultMatrix(t *testing.T) {
 	for _, mode := range []struct {
 		name, kind string
@@ -229,48 +230,48 @@
 		for _, first := range faults {
 			for _, second := range faults {
 				t.Run(mode.name+"/"+first.name+"/"+second.name, func(t *testing.T) {
-					matrixCase(t, mode.kind, mode.stream, first, second)
+					testMatrixCase(t, mode.kind, mode.stream, first, second)
 				})
 			}
 		}
 	}
 }
 
-func matrixCase(t *testing.T, kind string, stream bool, first, second fault) {
-	clock := &handClock{FakeClock: clockwork.NewFakeClock()}
+func testMatrixCase(t *testing.T, kind string, stream bool, first, second fault) {
+	clock := &manualClock{FakeClock: clockwork.NewFakeClock()}
 	bs := []*faultyBackend{{fault: first, clock: clock, kind: kind}, {fault: second, clock: clock, kind: kind}}
-	doc := oneModel(backendSpec{"a", "fd-1", kind, bs[0].start(t)}, backendSpec{"b", "fd-2", kind, bs[1].start(t)})
+	doc := oneModelConfig(backendSpec{"a", "fd-1", kind, bs[0].start(t)}, backendSpec{"b", "fd-2", kind, bs[1].start(t)})
 	d := testDeps(doc, clock)
-	bill := newBooks()
+	bill := newFakeLedger()
 	d.Bill = bill
 	a := await(t, ask(serveGateway(t, d), stream))
-	ran := bs[0].begun() + bs[1].begun()
+	ran := bs[0].started() + bs[1].started()
 	billed, left := bill.counts()
 
 	notRun, unknown := strings.Contains(a.body, openai.OutcomeNotRun), strings.Contains(a.body, openai.OutcomeUnknown)
-	whole := a.status == http.StatusOK && !unknown
+	complete := a.status == http.StatusOK && !unknown
 	switch {
 	case notRun && ran > 0:
-		t.Errorf("told not run, but %d back ends began it", ran)
-	case whole && !strings.Contains(a.body, "t0 ") || whole && !strings.Contains(a.body, "t3"):
-		t.Errorf("looks whole but is not: %s", a.body)
-	case whole && stream && !strings.Contains(a.body, "[DONE]"):
-		t.Errorf("neither its end nor an error: %s", a.body)
-	case !whole && strings.Contains(a.body, "[DONE]"):
-		t.Errorf("a broken answer with an end: %s", a.body)
-	case !whole && !notRun && !unknown:
-		t.Errorf("an answer that says nothing of its outcome: %d %s", a.status, a.body)
+		t.Errorf("reported as not run, but %d back ends started it", ran)
+	case complete && !strings.Contains(a.body, "t0 ") || complete && !strings.Contains(a.body, "t3"):
+		t.Errorf("truncated answer looks complete: %s", a.body)
+	case complete && stream && !strings.Contains(a.body, "[DONE]"):
+		t.Errorf("stream has neither an end marker nor an error: %s", a.body)
+	case !complete && strings.Contains(a.body, "[DONE]"):
+		t.Errorf("truncated answer has an end marker: %s", a.body)
+	case !complete && !notRun && !unknown:
+		t.Errorf("answer without an outcome: %d %s", a.status, a.body)
 	case strings.Contains(a.body, "t99"):
-		t.Errorf("another's chunk reached the caller: %s", a.body)
+		t.Errorf("chunk of another request or version reached the caller: %s", a.body)
 	case kind == config.KindService && ran > 1:
 		t.Errorf("a posting ran %d times", ran)
 	case (ran > 0) != (billed == 1) || left > 0:
 		t.Errorf("ran %d, billed %d, left open %d", ran, billed, left)
 	case (notRun || unknown && a.status != http.StatusOK) && a.header.Get("Retry-After") == "":
-		t.Errorf("refused without a time to come back")
-	case first.whole && !whole:
-		t.Errorf("a sound back end was asked and its answer did not arrive: %d %s", a.status, a.body)
-	case !first.runs && second.whole && !whole:
-		t.Errorf("the first did not run it and the second could have: %d %s", a.status, a.body)
+		t.Errorf("refused without Retry-After")
+	case first.complete && !complete:
+		t.Errorf("the first back end answered but the caller got no complete answer: %d %s", a.status, a.body)
+	case !first.runs && second.complete && !complete:
+		t.Errorf("the first back end did not start the request and the second was not used: %d %s", a.status, a.body)
 	}
 }
--- a/gateway/output.go
+++ b/gateway/output.go
@@ -10,39 +10,39 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// answer is a sink that keeps an answer: for rating, and to put a streamed
-// one together for a caller who asked for it whole.
-type answer struct {
-	rid      string
-	asStream bool // how the back end is asked
+// bufferedAnswer is a sink that keeps an answer in memory: for rating, and to
+// assemble a streamed one for a caller who did not ask to stream.
+type bufferedAnswer struct {
+	rid       string
+	askStream bool // whether the back end is asked to stream
 
-	chunks  [][]byte // streamed: the events' data
+	chunks  [][]byte // streamed: the data of each event
 	content strings.Builder
 	last    openai.Chunk
-	body    []byte // whole: the back end's body
+	body    []byte // not streamed: the back end's body
 }
 
-// needsWhole are the request fields whose answers have parts that cannot be
-// put together from streamed text; with them a caller who did not ask to
-// stream gets the back end's own whole answer.
-var needsWhole = []string{"tools", "functions", "n", "logprobs"}
-
-// newAnswer returns an empty answer to q. Engines are asked to stream even
-// for a caller who wants the answer whole: a stream shows within the first
-// token timeout that the engine is silent, a whole answer only after minutes.
-func newAnswer(q *request) *answer {
-	a := &answer{rid: q.rid, asStream: true}
-	for _, f := range needsWhole {
+// unstreamableFields are the request fields whose answers have parts that cannot
+// be assembled from streamed text. If one is present and the caller did not ask
+// to stream, the back end is not asked to stream either.
+var unstreamableFields = []string{"tools", "functions", "n", "logprobs"}
+
+// newBufferedAnswer returns an empty answer to q. Engines are asked to stream even
+// if the caller did not ask to: a stream reveals a silent engine within the first-token
+// timeout, a non-streamed answer only after minutes.
+func newBufferedAnswer(q *request) *bufferedAnswer {
+	a := &bufferedAnswer{rid: q.rid, askStream: true}
+	for _, f := range unstreamableFields {
 		if _, ok := q.fields[f]; ok && !q.stream {
-			a.asStream = false
+			a.askStream = false
 		}
 	}
 	return a
 }
 
-func (a *answer) streams() bool { return a.asStream }
+func (a *bufferedAnswer) streams() bool { return a.askStream }
 
-func (a *answer) event(data []byte, ch *openai.Chunk) bool {
+func (a *bufferedAnswer) event(data []byte, ch *openai.Chunk) bool {
 	a.chunks = append(a.chunks, append([]byte(nil), data...))
 	for _, c := range ch.Choices {
 		a.content.WriteString(c.Delta.Content)
@@ -53,13 +53,13 @@
 	return false
 }
 
-func (a *answer) whole(_ *http.Response, body []byte, b route.BackendInfo) (int, error) {
+func (a *bufferedAnswer) complete(_ *http.Response, body []byte, b route.BackendInfo) (int, error) {
 	var ans openai.ChatResponse
 	if err := json.Unmarshal(body, &ans); err != nil {
 		return 0, err
 	}
-	if ans.ID != "" && ans.ID != a.rid || !rightModel(ans.Model, b) {
-		return 0, errForeign
+	if ans.ID != "" && ans.ID != a.rid || !modelMatches(ans.Model, b) {
+		return 0, errMismatchedAnswer
 	}
 	a.body = body
 	for _, c := range ans.Choices {
@@ -68,15 +68,15 @@
 	return ans.Usage.CompletionTokens, nil
 }
 
-func (a *answer) reset() {
+func (a *bufferedAnswer) reset() {
 	a.chunks, a.body, a.last = nil, nil, openai.Chunk{}
 	a.content.Reset()
 }
 
-func (a *answer) text() string { return a.content.String() }
+func (a *bufferedAnswer) text() string { return a.content.String() }
 
-// wholeBody is the answer as one chat completion.
-func (a *answer) wholeBody(q *request) []byte {
+// completion is the answer as the body of a non-streamed chat completion.
+func (a *bufferedAnswer) completion(q *request) []byte {
 	if a.body != nil {
 		return a.body
 	}
@@ -89,88 +89,88 @@
 	if a.last.Usage != nil {
 		out.Usage = *a.last.Usage
 	}
-	b, _ := json.Marshal(out) // strings and numbers only: it cannot fail
+	b, _ := json.Marshal(out) // cannot fail: strings and numbers only
 	return b
 }
 
-// output is the sink whose answer goes to the caller: event by event when
-// the caller streams, at its end otherwise.
+// output is the sink that writes to the caller: event by event if the caller
+// streams, otherwise at the end of the answer.
 type output struct {
 	g   *Gateway
 	q   *request
 	dec *route.Decision
-	*answer
-	begun bool
+	*bufferedAnswer
+	wroteHeader bool
 }
 
 func (g *Gateway) newOutput(q *request, dec *route.Decision) *output {
-	o := &output{g: g, q: q, dec: dec, answer: newAnswer(q)}
+	o := &output{g: g, q: q, dec: dec, bufferedAnswer: newBufferedAnswer(q)}
 	if len(dec.Candidates) > 0 && dec.Candidates[0].Kind != config.KindEngine {
-		o.asStream = q.stream // only engines are sure to stream
+		o.askStream = q.stream // plain services may not support streaming
 	}
 	return o
 }
 
-// event implements sink. A streamed event goes straight on; of the text only
-// what the rater may want is kept.
+// event implements sink. For a streaming caller it writes the event at once and
+// keeps only as much text as the rater needs.
 func (o *output) event(data []byte, ch *openai.Chunk) bool {
 	if !o.q.stream {
-		return o.answer.event(data, ch)
+		return o.bufferedAnswer.event(data, ch)
 	}
-	o.begin()
+	o.writeHeader()
 	writeEvent(o.q.c.Writer, data)
 	for _, c := range ch.Choices {
-		if o.content.Len() < ratedText {
+		if o.content.Len() < maxRatedText {
 			o.content.WriteString(c.Delta.Content)
 		}
 	}
 	return true
 }
 
-func (o *output) begin() {
-	if o.begun {
+func (o *output) writeHeader() {
+	if o.wroteHeader {
 		return
 	}
-	o.begun = true
-	o.g.lastIfStopping(o.q.c)
+	o.wroteHeader = true
+	o.g.closeConnIfStopping(o.q.c)
 	o.q.c.Header("Content-Type", "text/event-stream")
 	o.q.c.Header("Cache-Control", "no-cache")
 	o.q.c.Status(http.StatusOK)
 }
 
-// takeOver gives the caller an answer that was kept until now.
-func (o *output) takeOver(a *answer) {
+// replay sends the caller an answer that was buffered.
+func (o *output) replay(a *bufferedAnswer) {
 	if !o.q.stream {
-		o.answer = a
+		o.bufferedAnswer = a
 		return
 	}
-	o.begin()
+	o.writeHeader()
 	for _, data := range a.chunks {
 		writeEvent(o.q.c.Writer, data)
 	}
 }
 
-// finish sends the end of a whole answer.
+// finish sends the end of a complete answer.
 func (o *output) finish() {
 	if !o.q.stream {
-		o.g.lastIfStopping(o.q.c)
-		o.q.c.Data(http.StatusOK, "application/json", o.wholeBody(o.q))
+		o.g.closeConnIfStopping(o.q.c)
+		o.q.c.Data(http.StatusOK, "application/json", o.completion(o.q))
 		return
 	}
-	o.begin()
+	o.writeHeader()
 	writeEvent(o.q.c.Writer, doneMarker)
 }
 
-// breakOff tells a caller whose answer broke off that it did, in band: the
-// status line is long gone, and waiting would be silence.
-func (o *output) breakOff(code string) {
+// abort reports in band that a streamed answer broke off: the status line has
+// already been sent, and without it the caller would get no notice.
+func (o *output) abort(code string) {
 	o.g.Scope.Tagged(map[string]string{"code": code}).Counter("stream_errors").Inc(1)
 	b, _ := json.Marshal(openai.ErrorBody{Error: openai.ErrorDetail{Type: openai.OutcomeUnknown, Code: code,
 		Message: "the answer broke off after it began; the request may have run"}})
 	writeEvent(o.q.c.Writer, b)
 }
 
-// eventWriter is what an SSE event is written to.
+// eventWriter is a response writer for SSE events.
 type eventWriter interface {
 	http.ResponseWriter
 	http.Flusher
--- a/gateway/pin.go
+++ b/gateway/pin.go
@@ -8,9 +8,9 @@
 	"github.com/lovageweir/lovageweir/session"
 )
 
-// readPins reads a session token. A token that does not verify, or names
-// another session, is ignored: the session is then decided afresh, which is
-// no worse than a caller who never had a token.
+// readPins reads the session token. A token that does not verify or belongs to
+// another session is ignored, and the session's versions are then chosen as for
+// a caller without a token.
 func (g *Gateway) readPins(q *request) {
 	tok := q.c.GetHeader(openai.HeaderSessionToken)
 	if g.Keys == nil || tok == "" || q.route.Session == "" {
@@ -24,9 +24,9 @@
 	q.route.Pins, q.route.PinnedCustomer = cl.Versions, cl.Customer
 }
 
-// pin notes that the session used a version and hands the caller a token
-// that says so, if the one it has does not. It must come before the answer's
-// first byte.
+// pin records that the session used a version and, unless the caller's token
+// already says so, sets a new one in the response. It must be called before the
+// first byte of the answer.
 func (g *Gateway) pin(q *request, dec *route.Decision) {
 	if g.Keys == nil || q.route.Session == "" || q.route.Pins[dec.Model] == dec.Version && q.route.PinnedCustomer == dec.Customer {
 		return
--- a/gateway/rate.go
+++ b/gateway/rate.go
@@ -8,15 +8,15 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// Bounds of rating answers after they were given.
+// Limits on rating answers after their delivery.
 const (
-	ratingQueue   = 256
-	ratingWorkers = 4
-	// ratedText is how much of a streamed answer is kept for the rater.
-	ratedText = 16 << 10
+	ratingQueueSize = 256
+	ratingWorkers   = 4
+	// maxRatedText is how many bytes of a streamed answer are kept for the rater.
+	maxRatedText = 16 << 10
 )
 
-// rating is an answer to be rated after the caller has it.
+// rating is an answer that is rated after its delivery.
 type rating struct {
 	ans      rater.Answer
 	subject  string
@@ -24,11 +24,11 @@
 }
 
 // unrated is the score of an answer that the rater did not rate in time. It
-// passes no step: a cascade then goes on to the costlier model, so a rater
-// that is down costs money and not quality.
+// passes no step, so the cascade goes on to the costlier model: an outage of the
+// rater raises cost but does not lower quality.
 const unrated = -1
 
-func (h *held) rated() bool { return h.score != unrated }
+func (h *heldAnswer) rated() bool { return h.score != unrated }
 
 func (q *request) ratedAnswer(dec *route.Decision, text string) rater.Answer {
 	prompt := ""
@@ -38,7 +38,7 @@
 	return rater.Answer{RequestID: q.rid, Model: dec.Model, Version: dec.Version, Prompt: prompt, Text: text}
 }
 
-// rate asks the rater while the caller waits.
+// rate calls the rater while the caller waits.
 func (g *Gateway) rate(q *request, dec *route.Decision, text string) float64 {
 	if g.Rater == nil {
 		return unrated
@@ -51,17 +51,18 @@
 	return score
 }
 
-// observe counts a guarded version's whole answer. An answer that could not
-// be rated counts as good: it came, and counting only failures would halt
-// every version in time.
+// observe reports a complete answer of a guarded version to the guard. An unrated
+// answer counts as good: if only failures counted, every version would eventually
+// be halted.
 func (g *Gateway) observe(dec *route.Decision, t *route.Table, rated bool, score float64) {
 	if subject, gd := t.Guarded(dec.Model, dec.Version); g.Guard != nil && gd != nil {
 		g.Guard.Observe(subject, rated && score < gd.MinScore)
 	}
 }
 
-// judge has a guarded version's answer rated after the caller has it.
-func (g *Gateway) judge(q *request, dec *route.Decision, text string) {
+// enqueueRating queues the answer of a guarded version for rating after its
+// delivery.
+func (g *Gateway) enqueueRating(q *request, dec *route.Decision, text string) {
 	subject, gd := q.table.Guarded(dec.Model, dec.Version)
 	if g.Guard == nil || gd == nil {
 		return
@@ -72,13 +73,13 @@
 	}
 	select {
 	case g.ratings <- rating{ans: q.ratedAnswer(dec, text), subject: subject, minScore: gd.MinScore}:
-	default: // the rater is behind: sample fewer rather than hold callers
+	default: // the rater is behind: skip samples rather than delay callers
 		g.Scope.Counter("ratings_skipped").Inc(1)
 	}
 }
 
-// failed counts a guarded version's failure to answer.
-func (g *Gateway) failed(q *request, dec *route.Decision) {
+// observeFailure reports to the guard that a guarded version failed to answer.
+func (g *Gateway) observeFailure(q *request, dec *route.Decision) {
 	if subject, gd := q.table.Guarded(dec.Model, dec.Version); g.Guard != nil && gd != nil {
 		g.Guard.Observe(subject, true)
 	}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -18,122 +18,123 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// retriesPerRequest is how many more back ends a request may try after one
-// that may have started it. Only back ends that may repeat are retried so;
-// tries after a provable refusal (not run) do not count.
+// retriesPerRequest is how many retries a request gets after attempts that may
+// have started it, on back ends where it may be repeated. Attempts that provably
+// did not run do not count.
 const retriesPerRequest = 1
 
-// kind is what running a step came to.
+// kind is the result of dispatching a step.
 type kind int
 
 const (
-	gotNothing kind = iota // no answer, nothing reached the caller
-	gotWhole               // the whole answer is in the sink
-	gotBroken              // it broke off after bytes reached the caller
+	noAnswer       kind = iota // no answer; nothing reached the caller
+	completeAnswer             // the complete answer is in the sink
+	brokenAnswer               // the answer broke off after bytes reached the caller
 )
 
 type result struct {
 	kind kind
-	code string // for gotBroken
+	code string // for brokenAnswer
 }
 
-// attempt is what one try at one back end came to.
+// attempt is the result of one call to one back end.
 type attempt struct {
 	notRun   bool // the back end provably did not start the request
-	draining bool // it refused because it leaves
-	started  bool // bytes of the answer reached the caller
-	whole    bool // the whole answer is in the sink
-	silent   bool // the watchdog fired: the back end went silent
+	draining bool // it refused because it is draining
+	relayed  bool // bytes of the answer reached the caller
+	complete bool // the complete answer is in the sink
+	timedOut bool // the watchdog fired because the back end went silent
 	tokens   int
 	code     string
 	err      error
 }
 
-// sink takes an answer as it comes. event reports whether bytes of it have
-// reached the caller.
+// sink receives an answer. event reports whether bytes of the answer have reached
+// the caller.
 type sink interface {
 	streams() bool // whether the back end is asked to stream
 	event(data []byte, ch *openai.Chunk) (reached bool)
-	// whole takes an answer that was not streamed; err is why it cannot be
-	// one.
-	whole(resp *http.Response, body []byte, b route.BackendInfo) (tokens int, err error)
-	reset() // forget a try that broke off before anything reached the caller
+	// complete receives an answer that was not streamed; err says why it is not a
+	// valid answer.
+	complete(resp *http.Response, body []byte, b route.BackendInfo) (tokens int, err error)
+	reset() // discards an attempt that broke off before anything reached the caller
 }
 
-// mayRepeat says whether a request may be sent again after a back end may
-// have started it. Engines generate text and may; plain services may only
-// when configured idempotent.
-func mayRepeat(b route.BackendInfo) bool {
+// retryable reports whether a request may be sent again after b may have started
+// it. Text generation on engines may; calls to plain services only if configured
+// as idempotent.
+func retryable(b route.BackendInfo) bool {
 	return b.Kind == config.KindEngine || b.Idempotent
 }
 
-// run tries candidates in order while the request has provably not run, and
-// repeats a failed one elsewhere within the retry budget if it may; once
-// bytes have reached the caller no other back end is tried.
-func (g *Gateway) run(q *request, dec *route.Decision, s sink) result {
-	g.budget.earn()
+// dispatch tries the candidates in order as long as the request has provably not
+// run. A failed attempt that may have run is retried on the next candidate if the
+// request is retryable and the retry budget allows it. Once bytes have reached
+// the caller, no other back end is tried.
+func (g *Gateway) dispatch(q *request, dec *route.Decision, s sink) result {
+	g.budget.deposit()
 	retries := 0
 	for _, b := range dec.Candidates {
-		if wait := g.room(b); wait > 0 {
-			q.leftOut(wait)
+		if wait := g.acquireLimit(b); wait > 0 {
+			q.noteRateLimited(wait)
 			continue
 		}
 		a := g.try(q, dec, b, s)
 		if a.tokens > 0 {
 			q.uses = append(q.uses, ledger.Use{Model: dec.Model, Version: dec.Version, Tokens: a.tokens})
 		}
-		if a.whole {
+		if a.complete {
 			g.Endpoints.Answered(b.Name)
-			g.served(q)
+			g.recordServed(q)
 			q.mayHaveRun = true
-			return result{kind: gotWhole}
+			return result{kind: completeAnswer}
 		}
-		gone := q.c.Request.Context().Err() != nil // the caller left, or the entry stops: no fault of the back end
+		gone := q.c.Request.Context().Err() != nil // the caller disconnected or the entry stops; not a fault of the back end
 		if !gone {
-			g.blame(b, a)
-			g.noteCrash(q, b, a)
+			g.recordFailure(b, a)
+			g.recordCrash(q, b, a)
 		}
 		if a.notRun && !gone {
-			g.Log.Info("gateway: back end did not take the request; trying the next.", "backend", b.Name, "request", q.rid, "error", a.err)
+			g.Log.Info("gateway: back end did not start the request; trying the next.", "backend", b.Name, "request", q.rid, "error", a.err)
 			continue
 		}
 		q.mayHaveRun = q.mayHaveRun || !a.notRun
 		if !gone {
-			g.failed(q, dec)
+			g.observeFailure(q, dec)
 		}
-		if a.started {
-			return result{kind: gotBroken, code: a.code}
+		if a.relayed {
+			return result{kind: brokenAnswer, code: a.code}
 		}
-		if gone || g.quarantined(q) != nil || !mayRepeat(b) || retries >= retriesPerRequest || !g.budget.take() {
-			return result{kind: gotNothing}
+		if gone || g.checkQuarantine(q) != nil || !retryable(b) || retries >= retriesPerRequest || !g.budget.tryWithdraw() {
+			return result{kind: noAnswer}
 		}
 		retries++
 		s.reset()
 		g.Scope.Counter("retries").Inc(1)
-		g.Log.Warn("gateway: back end failed before its answer began; trying the next.", "backend", b.Name, "request", q.rid, "code", a.code, "error", a.err)
+		g.Log.Warn("gateway: back end failed before any of its answer was relayed; retrying on the next.", "backend", b.Name, "request", q.rid, "code", a.code, "error", a.err)
 	}
-	return result{kind: gotNothing}
+	return result{kind: noAnswer}
 }
 
-// blame notes what a failed try says about its back end.
-func (g *Gateway) blame(b route.BackendInfo, a attempt) {
+// recordFailure updates the state of the back end of a failed attempt.
+func (g *Gateway) recordFailure(b route.BackendInfo, a attempt) {
 	if a.draining {
 		g.Endpoints.Draining(b.Name)
 		return
 	}
 	g.Endpoints.Failed(b.Name)
-	if a.silent {
-		g.lines.drop(b.Address)
+	if a.timedOut {
+		g.connPools.drop(b.Address)
 	}
 }
 
-// watchdog cancels a call when the back end stays silent too long.
+// watchdog cancels a call when the back end is silent for too long.
 type watchdog struct {
 	timer clockwork.Timer
 	fired atomic.Bool
 }
 
-func (g *Gateway) watch(cancel context.CancelFunc, d time.Duration) *watchdog {
+func (g *Gateway) startWatchdog(cancel context.CancelFunc, d time.Duration) *watchdog {
 	w := &watchdog{}
 	w.timer = g.Clock.AfterFunc(d, func() {
 		w.fired.Store(true)
@@ -142,8 +143,8 @@
 	return w
 }
 
-// try makes one call to b. The back end's in-flight count covers the whole
-// answer, not just its headers, so load-based choice sees long streams.
+// try makes one call to b. The back end's in-flight count covers the whole answer,
+// not just its headers, so that load-based selection accounts for long streams.
 func (g *Gateway) try(q *request, dec *route.Decision, b route.BackendInfo, s sink) attempt {
 	done := g.Endpoints.Begin(b.Name)
 	defer done()
@@ -153,7 +154,7 @@
 	if !s.streams() {
 		first = g.Timeouts.Whole
 	}
-	wd := g.watch(cancel, first)
+	wd := g.startWatchdog(cancel, first)
 	defer wd.timer.Stop()
 	g.pin(q, dec)
 	q.c.Header(openai.HeaderVersion, dec.Version)
@@ -164,18 +165,18 @@
 		if s.streams() {
 			a = g.relayStream(resp, q, b, wd, s)
 		} else {
-			a = relayWhole(resp, b, s)
+			a = relayBody(resp, b, s)
 		}
 	}
-	a.silent = wd.fired.Load()
-	if a.silent && a.code == "" {
+	a.timedOut = wd.fired.Load()
+	if a.timedOut && a.code == "" {
 		a.code = "backend_silent"
 	}
 	return a
 }
 
-// serviceCall is a call to a plain service, sent on as it came.
-type serviceCall struct {
+// backendCall is what is sent to a back end. Calls to plain services are forwarded unchanged.
+type backendCall struct {
 	path        string
 	body        []byte
 	contentType string
@@ -183,17 +184,17 @@
 
 const chatPath = "/v1/chat/completions"
 
-// outgoing is what goes to b for q.
-func outgoing(q *request, b route.BackendInfo, stream bool) (serviceCall, error) {
+// newBackendCall returns the call to b for q.
+func newBackendCall(q *request, b route.BackendInfo, stream bool) (backendCall, error) {
 	if q.service != nil {
 		return *q.service, nil
 	}
 	body, err := payload(q, b, stream)
-	return serviceCall{path: chatPath, body: body, contentType: "application/json"}, err
+	return backendCall{path: chatPath, body: body, contentType: "application/json"}, err
 }
 
-// payload is the caller's body with the model name the back end serves, so
-// that one that has loaded another version refuses instead of running it.
+// payload is the caller's body with the model name that an engine serves, so that
+// an engine with another version loaded refuses instead of running it.
 func payload(q *request, b route.BackendInfo, stream bool) ([]byte, error) {
 	out := make(map[string]json.RawMessage, len(q.fields)+1)
 	for k, v := range q.fields {
@@ -213,11 +214,11 @@
 	return json.Marshal(out)
 }
 
-// call sends the request. notRun is set only when the back end provably did
-// not start it: the request's headers were never all written, or it refused
-// before any work.
+// call sends the request. notRun is set only if the back end provably did not
+// start it: its headers were not completely written, or the back end refused
+// before doing any work.
 func (g *Gateway) call(ctx context.Context, q *request, b route.BackendInfo, stream bool) (*http.Response, attempt) {
-	out, err := outgoing(q, b, stream)
+	out, err := newBackendCall(q, b, stream)
 	if err != nil {
 		return nil, attempt{notRun: true, err: err}
 	}
@@ -232,27 +233,27 @@
 	if key := q.c.GetHeader(openai.HeaderIdempotencyKey); key != "" {
 		hreq.Header.Set(openai.HeaderIdempotencyKey, key)
 	}
-	// net/http repeats a request by itself when a kept connection breaks
-	// before the answer and it can read the body again. Whether the back end
-	// ran it is then unknown, and for a posting a repeat is a second posting;
-	// without GetBody it does not repeat.
+	// net/http retries a request by itself when a reused connection breaks
+	// before the answer and the body can be read again. The back end may
+	// already have run it, so a non-idempotent call could run twice. Without
+	// GetBody net/http does not retry.
 	hreq.GetBody = nil
-	resp, err := g.lines.client(b.Address, !mayRepeat(b)).Do(hreq)
+	resp, err := g.connPools.client(b.Address, !retryable(b)).Do(hreq)
 	if err != nil {
 		return nil, attempt{notRun: !wrote.Load(), err: err}
 	}
-	g.noteLimit(b, resp.Header)
-	if resp.StatusCode == http.StatusOK || q.service != nil && !refusedUnrun(resp.StatusCode, true) {
-		return resp, attempt{} // a service's own failure is its answer
+	g.recordLimit(b, resp.Header)
+	if resp.StatusCode == http.StatusOK || q.service != nil && !rejectedBeforeStart(resp.StatusCode, true) {
+		return resp, attempt{} // an error status of a service is its answer
 	}
 	resp.Body.Close()
-	return nil, attempt{notRun: refusedUnrun(resp.StatusCode, q.service != nil), draining: resp.Header.Get(openai.HeaderDraining) != "",
+	return nil, attempt{notRun: rejectedBeforeStart(resp.StatusCode, q.service != nil), draining: resp.Header.Get(openai.HeaderDraining) != "",
 		err: fmt.Errorf("back end answered %d", resp.StatusCode)}
 }
 
-// refusedUnrun are the answers that back ends give before any work: no
-// capacity or leaving; and, from an engine, another version loaded than the
-// one asked for (a service's 404 is its answer).
-func refusedUnrun(status int, service bool) bool {
+// rejectedBeforeStart reports whether a back end sends this status before doing
+// any work: no capacity, draining, or, from an engine, another version loaded than
+// the requested one. A 404 from a service is its answer.
+func rejectedBeforeStart(status int, service bool) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusNotFound && !service
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -11,11 +11,11 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// ServicePrefix is where plain services are called: POST
-// /v1/services/NAME/PATH reaches a back end of model NAME as POST /PATH.
+// ServicePrefix is the path of calls to plain services: POST
+// /v1/services/NAME/PATH is forwarded to a back end of model NAME as POST /PATH.
 const ServicePrefix = "/v1/services/"
 
-// serviceAnswer is the sink for a plain service's answer, given on as it is.
+// serviceAnswer is the sink for the answer of a plain service, which is relayed unchanged.
 type serviceAnswer struct {
 	status      int
 	contentType string
@@ -26,22 +26,22 @@
 func (s *serviceAnswer) event([]byte, *openai.Chunk) bool { return false }
 func (s *serviceAnswer) reset()                           { *s = serviceAnswer{} }
 
-func (s *serviceAnswer) whole(resp *http.Response, body []byte, _ route.BackendInfo) (int, error) {
+func (s *serviceAnswer) complete(resp *http.Response, body []byte, _ route.BackendInfo) (int, error) {
 	if resp.ContentLength >= 0 && int64(len(body)) != resp.ContentLength {
-		return 0, fmt.Errorf("got %d bytes of %d", len(body), resp.ContentLength)
+		return 0, fmt.Errorf("answer truncated: got %d of %d bytes", len(body), resp.ContentLength)
 	}
 	s.status, s.contentType, s.body = resp.StatusCode, resp.Header.Get("Content-Type"), body
 	return 0, nil
 }
 
-// service serves one call to a plain service.
+// service handles a call to a plain service.
 func (g *Gateway) service(c *gin.Context) *route.Refusal {
 	body, ref := readBody(c)
 	if ref != nil {
 		return ref
 	}
 	q := &request{c: c, body: body, release: func() {}, name: c.Param("name"),
-		service: &serviceCall{path: c.Param("path"), body: body, contentType: c.GetHeader("Content-Type")}}
+		service: &backendCall{path: c.Param("path"), body: body, contentType: c.GetHeader("Content-Type")}}
 	if ref := g.begin(q); ref != nil {
 		return ref
 	}
@@ -57,12 +57,12 @@
 		return ref
 	}
 	ans := &serviceAnswer{}
-	if g.run(q, dec, ans).kind != gotWhole {
+	if g.dispatch(q, dec, ans).kind != completeAnswer {
 		return g.conclude(q, nil, nil)
 	}
 	g.settle(q, ledger.OutcomeOK)
 	g.Scope.Counter("answers").Inc(1)
-	g.lastIfStopping(q.c)
+	g.closeConnIfStopping(q.c)
 	q.c.Data(ans.status, ans.contentType, ans.body)
 	return nil
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -12,18 +12,18 @@
 	"github.com/lovageweir/lovageweir/route"
 )
 
-// unbounded is how long a request may take here: a stream goes on as long as
-// its tokens come, and a caller names no deadline. So none that comes during a
-// stop is sure to have its answer before the end.
-const unbounded time.Duration = math.MaxInt64
+// noTimeLimit is the assumed duration of a request: callers set no deadline, and a
+// stream lasts as long as its tokens keep coming. A request that arrives during a
+// planned stop is therefore never sure to finish before its end.
+const noTimeLimit time.Duration = math.MaxInt64
 
-// admit takes requests through the gate, refuses those that a planned stop has
-// no time left for, and answers the refusals that handle returns.
+// admit passes requests through the drain gate, refuses those for which a planned
+// stop leaves no time, and writes the refusals that handle returns.
 func (g *Gateway) admit(handle func(*gin.Context) *route.Refusal) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		g.Gate.Enter()
 		defer g.Gate.Leave()
-		if !g.Gate.Admits(unbounded) {
+		if !g.Gate.Admits(noTimeLimit) {
 			g.refuseNotRun(c, errDraining)
 			return
 		}
@@ -36,31 +36,31 @@
 	}
 }
 
-// cutOff reports whether the end of a planned stop has ended the request, and
-// not its caller.
-func cutOff(c *gin.Context) bool {
+// cutByDrain reports whether the request was ended by the end of a planned stop
+// rather than by its caller.
+func cutByDrain(c *gin.Context) bool {
 	return errors.Is(context.Cause(c.Request.Context()), drain.ErrCut)
 }
 
-// codeStopped is the code of an answer that the end of a planned stop has cut
-// off after a back end may have run the request.
+// codeStopped is the error code of a request that a planned stop cut off after a
+// back end may have started it.
 const codeStopped = "entry_stopped"
 
-// endCode is why q ends without its whole answer: code, unless the stop has
-// ended it. What the stop cuts off looks like a back end's failure otherwise,
-// and an operator would look for it there.
-func (g *Gateway) endCode(q *request, code string) string {
-	if !cutOff(q.c) {
+// failureCode is the error code of a request that gets no complete answer: code,
+// or codeStopped if a planned stop cut it off. Without the distinction an operator
+// would look for a fault in the back end.
+func (g *Gateway) failureCode(q *request, code string) string {
+	if !cutByDrain(q.c) {
 		return code
 	}
 	g.Log.Warn("gateway: the planned stop has cut off a request; it may have run.", "request", q.rid, "customer", q.customer)
 	return codeStopped
 }
 
-// lastIfStopping makes the answer about to begin the last on its connection if
-// the entry stops. A caller that keeps the connection sends its next request
-// on it, and one that crosses the close gets no answer.
-func (g *Gateway) lastIfStopping(c *gin.Context) {
+// closeConnIfStopping makes the answer that follows the last on its connection
+// while the entry stops. A caller that reuses the connection could otherwise send
+// a request as the entry closes it, and get no answer.
+func (g *Gateway) closeConnIfStopping(c *gin.Context) {
 	if g.Gate.Stopping() {
 		c.Header("Connection", "close")
 	}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -21,20 +21,20 @@
 	"github.com/lovageweir/lovageweir/standin/engine"
 )
 
-// stopping is a gate on a clock that stands still.
-type stopping struct {
+// testGate is a drain gate on a fake clock.
+type testGate struct {
 	*drain.Gate
 	clock *clockwork.FakeClock
 }
 
-func newStopping() stopping {
+func newTestGate() testGate {
 	clock := clockwork.NewFakeClock()
-	return stopping{drain.NewGate(clock), clock}
+	return testGate{drain.NewGate(clock), clock}
 }
 
-// timeIsOver begins a stop that has no time left, and returns what waits until
+// expire begins a stop that has no time left. The returned function waits until
 // its last answers are written.
-func (s stopping) timeIsOver() (wait func()) {
+func (s testGate) expire() (wait func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -52,16 +52,19 @@
 	}
 }
 
-// keys is a claimer that grants every claim.
-type keys struct{ claimed, released atomic.Int32 }
+// fakeClaims grants every claim.
+type fakeClaims struct{ claimed, released atomic.Int32 }
 
-func (k *keys) Claim(context.Context, string, string, string) error { k.claimed.Add(1); return nil }
-func (k *keys) Release(string, string, string)                      { k.released.Add(1) }
+func (k *fakeClaims) Claim(context.Context, string, string, string) error {
+	k.claimed.Add(1)
+	return nil
+}
+func (k *fakeClaims) Release(string, string, string) { k.released.Add(1) }
 
-// send sends a request with an idempotency key and hands over the answer once
-// its head is there. When the test ends its connection is closed: a request that
-// a broken stop left would hold up the server's close.
-func send(t *testing.T, srv *httptest.Server, stream bool, body io.Reader) <-chan *http.Response {
+// sendWithKey sends a request with an idempotency key and delivers the response once
+// its headers have arrived. The connections are closed when the test ends, since a
+// request that a faulty stop left open would block the server's close.
+func sendWithKey(t *testing.T, srv *httptest.Server, stream bool, body io.Reader) <-chan *http.Response {
 	t.Cleanup(srv.CloseClientConnections)
 	out := make(chan *http.Response, 1)
 	if body == nil {
@@ -79,8 +82,8 @@
 	return out
 }
 
-// take reads the whole answer.
-func take(t *testing.T, ch <-chan *http.Response) (*http.Response, string) {
+// readAnswer reads a complete response.
+func readAnswer(t *testing.T, ch <-chan *http.Response) (*http.Response, string) {
 	t.Helper()
 	select {
 	case resp := <-ch:
@@ -88,27 +91,26 @@
 			t.Fatal("the connection closed without an answer")
 		}
 		defer resp.Body.Close()
-		guard := time.AfterFunc(callerGuard, func() { resp.Body.Close() })
+		guard := time.AfterFunc(testTimeout, func() { resp.Body.Close() })
 		defer guard.Stop()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatal("the answer was cut off: ", err)
 		}
 		return resp, string(body)
-	case <-time.After(callerGuard):
-		t.Fatal("the caller is still waiting: silence")
+	case <-time.After(testTimeout):
+		t.Fatal("the caller got no response")
 		return nil, ""
 	}
 }
 
-// TestWhatOutlastsAStopIsToldSo: symptom: at the end of a planned stop callers'
-// connections close without an answer. Sequence: a stream that has begun, a
-// whole answer and a posting are at their back end when the stop's time is over.
-// Cause: nothing ended them before the process did. Here each is told that it
-// may have run, and billed so; the posting keeps its claim, since a repeat must
-// not run; and neither the back end nor its version is blamed, nor another
-// asked.
-func TestWhatOutlastsAStopIsToldSo(t *testing.T) {
+// Guards against connections that close without an answer at the end of a planned
+// stop because nothing ends their requests before the process exits. A started
+// stream, a non-streamed answer and a posting are at their back end when the stop's
+// time is over. Each caller must be told that the request may have run, and be
+// billed. The posting keeps its claim, since a repeat must not run; the back end and
+// its version are not blamed, and no other back end is tried.
+func TestRequestsCutByStopGetUnknownOutcome(t *testing.T) {
 	for _, mode := range []struct {
 		name, kind string
 		stream     bool
@@ -116,30 +118,30 @@
 	}{{"stream", config.KindEngine, true, 0}, {"whole", config.KindEngine, false, 0}, {"posting", config.KindService, false, 1}} {
 		t.Run(mode.name, func(t *testing.T) {
 			is := is.New(t)
-			clock := &handClock{FakeClock: clockwork.NewFakeClock()}
+			clock := &manualClock{FakeClock: clockwork.NewFakeClock()}
 			reached := make(chan struct{})
-			hang := fault{"hang", true, false, partly(1, func(_ http.ResponseWriter, r *http.Request, _ *faultyBackend) {
+			hang := fault{"hang", true, false, streamThen(1, func(_ http.ResponseWriter, r *http.Request, _ *faultyBackend) {
 				close(reached)
 				<-r.Context().Done()
 			})}
 			first, other := &faultyBackend{fault: hang, clock: clock, kind: mode.kind}, &faultyBackend{fault: faults[0], clock: clock, kind: mode.kind}
-			doc := oneModel(backendSpec{"a", "fd-1", mode.kind, first.start(t)}, backendSpec{"b", "fd-2", mode.kind, other.start(t)})
+			doc := oneModelConfig(backendSpec{"a", "fd-1", mode.kind, first.start(t)}, backendSpec{"b", "fd-2", mode.kind, other.start(t)})
 			doc.Models["m"].Versions["v1"] = config.Version{State: config.StateActive, Weight: 1, Guard: &config.Guard{Baseline: "v0", MinScore: 0.5}}
-			gate, bill, claims, guard := newStopping(), newBooks(), &keys{}, &counter{seen: make(chan struct{}, 1)}
+			gate, bill, claims, guard := newTestGate(), newFakeLedger(), &fakeClaims{}, &countingGuard{seen: make(chan struct{}, 1)}
 			d := testDeps(doc, clock)
 			d.Gate, d.Bill, d.Claims, d.Guard = gate.Gate, bill, claims, guard
 
-			answer := send(t, serveGateway(t, d), mode.stream, nil)
+			answer := sendWithKey(t, serveGateway(t, d), mode.stream, nil)
 			<-reached
-			if mode.stream { // its first event has reached the caller
-				begun := <-answer
-				is.Equal(begun.StatusCode, http.StatusOK)
+			if mode.stream { // the first event has reached the caller
+				started := <-answer
+				is.Equal(started.StatusCode, http.StatusOK)
 				again := make(chan *http.Response, 1)
-				again <- begun
+				again <- started
 				answer = again
 			}
-			wait := gate.timeIsOver()
-			resp, body := take(t, answer)
+			wait := gate.expire()
+			resp, body := readAnswer(t, answer)
 			wait()
 
 			is.True(strings.Contains(body, openai.OutcomeUnknown))
@@ -151,54 +153,52 @@
 			is.Equal(open, 0)
 			is.Equal(claims.claimed.Load(), mode.claims)
 			is.Equal(claims.released.Load(), int32(0))
-			is.Equal(other.begun(), 0)
+			is.Equal(other.started(), 0)
 			is.True(!d.Endpoints.Snapshot().Backends["a"].Avoided)
 			is.Equal(len(guard.seen), 0)
 		})
 	}
 }
 
-// TestAStopAnswersACallerThatSendsSlowly: symptom: as above. Sequence: the
-// stop's time is over before the caller has sent all of its request. Cause:
-// the end of a request's context does not end the reading of its body. Here the
-// caller is told, truthfully, that the request did not run.
-func TestAStopAnswersACallerThatSendsSlowly(t *testing.T) {
+// Guards against a connection that closes without an answer when a planned stop
+// ends before the caller has sent its whole request: the end of a request's context
+// does not end the reading of its body. The caller must be told "not run".
+func TestStopAnswersRequestWithUnreadBody(t *testing.T) {
 	is := is.New(t)
-	gate := newStopping()
-	d := testDeps(oneModel(backendSpec{"a", "fd-1", config.KindEngine, nobody}), clockwork.NewFakeClock())
+	gate := newTestGate()
+	d := testDeps(oneModelConfig(backendSpec{"a", "fd-1", config.KindEngine, closedAddress}), clockwork.NewFakeClock())
 	d.Gate = gate.Gate
 	body, caller := io.Pipe()
 	defer caller.Close()
-	answer := send(t, serveGateway(t, d), false, body)
+	answer := sendWithKey(t, serveGateway(t, d), false, body)
 	_, err := caller.Write([]byte(`{"model":`))
 	is.NoErr(err)
 	for gate.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	wait := gate.timeIsOver()
-	resp, text := take(t, answer)
+	wait := gate.expire()
+	resp, text := readAnswer(t, answer)
 	wait()
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(strings.Contains(text, openai.OutcomeNotRun))
 	is.True(strings.Contains(text, errDraining.Code))
 }
 
-// TestAStopGivesTheAnswerThatIsHeld: symptom: a caller gets nothing though an
-// answer is there. Sequence: a cascade's first step has answered, below its
-// target; the next is under way when the stop's time is over. The caller gets
-// the answer of the first.
-func TestAStopGivesTheAnswerThatIsHeld(t *testing.T) {
+// Guards against a caller that gets nothing although an answer is available: the
+// first step of a cascade scored below its target, and the stop's time is over
+// during the next step. The caller must get the answer of the first step.
+func TestStopDeliversHeldCascadeAnswer(t *testing.T) {
 	is := is.New(t)
-	gate := newStopping()
-	d := testDeps(twoSteps(t, engine.Faults{}, engine.Faults{Silent: true}), clockwork.NewFakeClock())
-	d.Gate, d.Rater = gate.Gate, scores{"cheap": 0.2}
+	gate := newTestGate()
+	d := testDeps(twoStepConfig(t, engine.Faults{}, engine.Faults{Silent: true}), clockwork.NewFakeClock())
+	d.Gate, d.Rater = gate.Gate, scoreRater{"cheap": 0.2}
 	srv := serveGateway(t, d)
 	t.Cleanup(srv.CloseClientConnections)
 	answer := askModel(srv, "draft", true)
 	for d.Endpoints.Snapshot().Backends["costly"].InFlight == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	wait := gate.timeIsOver()
+	wait := gate.expire()
 	a := await(t, answer)
 	wait()
 	is.Equal(a.status, http.StatusOK)
@@ -206,37 +206,36 @@
 	is.True(strings.Contains(a.body, "[DONE]"))
 }
 
-// TestAnswersOfAStoppingEntryEndTheirConnection: symptom: requests are lost as
-// an entry closes. Sequence: a caller keeps the connection on which it was
-// answered, or refused, by an entry that stops; its next request crosses the
-// close. Cause: the answer did not say that the connection ends with it.
-func TestAnswersOfAStoppingEntryEndTheirConnection(t *testing.T) {
+// Guards against requests that are lost when a caller reuses its connection as the
+// entry closes it. Answers and refusals during a stop must announce that they are
+// the last on their connection.
+func TestAnswersDuringStopCloseTheConnection(t *testing.T) {
 	is := is.New(t)
-	clock := &handClock{FakeClock: clockwork.NewFakeClock()}
-	reached, goOn := make(chan struct{}), make(chan struct{})
-	answer := sync.OnceFunc(func() { close(goOn) })
+	clock := &manualClock{FakeClock: clockwork.NewFakeClock()}
+	reached, resume := make(chan struct{}), make(chan struct{})
+	unblock := sync.OnceFunc(func() { close(resume) })
 	slow := fault{"slow", true, true, func(w http.ResponseWriter, r *http.Request, b *faultyBackend) {
 		close(reached)
-		<-goOn
+		<-resume
 		faults[0].serve(w, r, b)
 	}}
 	b := &faultyBackend{fault: slow, clock: clock, kind: config.KindEngine}
-	gate := newStopping()
-	d := testDeps(oneModel(backendSpec{"a", "fd-1", config.KindEngine, b.start(t)}), clock)
+	gate := newTestGate()
+	d := testDeps(oneModelConfig(backendSpec{"a", "fd-1", config.KindEngine, b.start(t)}), clock)
 	d.Gate = gate.Gate
 	srv := serveGateway(t, d)
-	t.Cleanup(answer)
-	inFlight := send(t, srv, false, nil)
+	t.Cleanup(unblock)
+	inFlight := sendWithKey(t, srv, false, nil)
 	<-reached
 	gate.Begin(drain.Times{End: time.Hour})
 
-	resp, text := take(t, send(t, srv, false, nil))
+	resp, text := readAnswer(t, sendWithKey(t, srv, false, nil))
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(strings.Contains(text, openai.OutcomeNotRun))
 	is.True(resp.Close)
-	is.Equal(b.begun(), 1) // it did not run
-	answer()
-	resp, _ = take(t, inFlight)
-	is.Equal(resp.StatusCode, http.StatusOK) // it had begun before the stop
+	is.Equal(b.started(), 1) // the refused request did not run
+	unblock()
+	resp, _ = readAnswer(t, inFlight)
+	is.Equal(resp.StatusCode, http.StatusOK) // it had started before the stop
 	is.True(resp.Close)
 }
