--- a/openai/doc.go
+++ b/openai/doc.go
@@ -1,4 +1,4 @@
-// Package openai holds the OpenAI-style chat completion shapes spoken to
-// callers and engines: the request, the streamed chunk and the whole answer,
-// and the error body lovageweir sends with a refusal.
+// Package openai holds the OpenAI-style chat completion types exchanged with
+// callers and engines (request, streamed chunk, non-streamed response, error body),
+// and the types of the engines' and the platform's status APIs.
 package openai
--- a/openai/types.go
+++ b/openai/types.go
@@ -14,12 +14,12 @@
 	MaxTokens int       `json:"max_tokens,omitempty"`
 }
 
-// Delta is the new text of one streamed chunk.
+// Delta is the new text of a streamed chunk.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
 
-// ChunkChoice is one choice inside a chunk.
+// ChunkChoice is one choice of a chunk.
 type ChunkChoice struct {
 	Index        int     `json:"index"`
 	Delta        Delta   `json:"delta"`
@@ -33,9 +33,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Chunk is one SSE event of a streamed answer. ID carries the request id,
-// which the entry checks on every chunk so an answer can never be relayed to
-// the wrong caller.
+// Chunk is one SSE event of a streamed answer. ID is the request id, which the
+// entry checks on every chunk so that no answer is relayed to the wrong caller.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -44,14 +43,14 @@
 	Usage   *Usage        `json:"usage,omitempty"`
 }
 
-// Choice is one choice of a whole answer.
+// Choice is one choice of a non-streamed answer.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      Message `json:"message"`
 	FinishReason string  `json:"finish_reason"`
 }
 
-// ChatResponse is a whole (not streamed) answer.
+// ChatResponse is a non-streamed answer.
 type ChatResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -60,8 +59,8 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Error outcomes. NotRun is said only when the request provably did not
-// run; OutcomeUnknown when it may have.
+// Error types. OutcomeNotRun is used only if the request provably did not run,
+// OutcomeUnknown if it may have.
 const (
 	OutcomeNotRun  = "not_run"
 	OutcomeUnknown = "outcome_unknown"
@@ -72,7 +71,7 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what happened and whether the request ran.
+// ErrorDetail describes an error and whether the request ran.
 type ErrorDetail struct {
 	Type              string `json:"type"`
 	Code              string `json:"code"`
@@ -89,27 +88,27 @@
 	HeaderVersion        = "X-Lovageweir-Version"
 	HeaderBackend        = "X-Lovageweir-Backend"
 	HeaderRevision       = "X-Lovageweir-Config-Revision"
-	// HeaderDraining is set by a back end that refuses because it leaves.
+	// HeaderDraining is set by a back end that refuses because it is draining.
 	HeaderDraining = "X-Draining"
-	// HeaderRateLimit is how many requests a second a back end takes from all entries
-	// together, on each of its answers for as long as it holds.
+	// HeaderRateLimit is how many requests per second a back end accepts from all entries
+	// together. It is set on each answer for as long as the limit applies.
 	HeaderRateLimit = "X-Lovageweir-Rate-Limit"
-	// HeaderQuality is QualityBelow on an answer of a cascade that no step
-	// brought to its target.
+	// HeaderQuality is QualityBelow on an answer of a cascade in which no step reached its
+	// target.
 	HeaderQuality = "X-Lovageweir-Quality"
 	QualityBelow  = "below-target"
 )
 
-// Paths of what engines and the instance list report of themselves. They
-// are no part of the OpenAI API; a deployment whose engines report
-// otherwise needs an adapter that answers in this form.
+// Paths of the status and control APIs of engines and of the instance list. They
+// are not part of the OpenAI API; a deployment whose engines report in another
+// form needs an adapter.
 const (
 	PathLoad      = "/load"
 	PathInstances = "/v1/instances"
 	PathOrders    = "/orders"
 )
 
-// LoadReport is an engine's word on itself. It lags.
+// LoadReport is the load that an engine reports of itself. It may be stale.
 type LoadReport struct {
 	Model    string `json:"model"`
 	Version  string `json:"version"`
@@ -135,8 +134,8 @@
 	State   string `json:"state"`
 }
 
-// InstanceList is the platform's list of instances. It lags; Revision rises
-// with every change of it.
+// InstanceList is the platform's list of instances. It may be stale; Revision rises
+// with every change.
 type InstanceList struct {
 	Revision  int64      `json:"revision"`
 	Instances []Instance `json:"instances"`
@@ -149,9 +148,8 @@
 	OrderResume = "resume"
 )
 
-// Order tells an engine what to serve. Fence is the fencing number of the
-// lease its sender acts under; some engines refuse an old one (409), others
-// obey.
+// Order tells an engine what to serve. Fence is the fencing token of the lease
+// under which it is sent; some engines reject a stale one (409), others obey it.
 type Order struct {
 	Fence   int64  `json:"fence"`
 	Action  string `json:"action"`
