--- a/session/bench_test.go
+++ b/session/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func benchRing(b *testing.B) *Keyring {
+func benchKeyring(b *testing.B) *Keyring {
 	k, err := NewKeyring("k1", map[string][]byte{"k1": bytes.Repeat([]byte{1}, 32)})
 	if err != nil {
 		b.Fatal(err)
@@ -14,9 +14,9 @@
 	return k
 }
 
-// BenchmarkSign is the CPU to issue one session token.
+// BenchmarkSign is the CPU cost of issuing one session token.
 func BenchmarkSign(b *testing.B) {
-	k, now := benchRing(b), time.Unix(1_800_000_000, 0)
+	k, now := benchKeyring(b), time.Unix(1_800_000_000, 0)
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
 		if _, err := k.Sign(Claims{Customer: "c", Session: "s", Versions: map[string]string{"m": "v1"}}, now); err != nil {
@@ -25,9 +25,9 @@
 	}
 }
 
-// BenchmarkVerify is the CPU to check one session token on a request.
+// BenchmarkVerify is the CPU cost of verifying one session token.
 func BenchmarkVerify(b *testing.B) {
-	k, now := benchRing(b), time.Unix(1_800_000_000, 0)
+	k, now := benchKeyring(b), time.Unix(1_800_000_000, 0)
 	tok, _ := k.Sign(Claims{Customer: "c", Session: "s", Versions: map[string]string{"m": "v1"}}, now)
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
--- a/session/token.go
+++ b/session/token.go
@@ -7,14 +7,14 @@
 	"github.com/gravitational/trace"
 )
 
-// MaxAge is how long a session token stays valid after it was issued.
+// MaxAge is how long a session token is valid after it was issued.
 const MaxAge = 24 * time.Hour
 
-// Claims are what a token pins.
+// Claims are the contents of a session token.
 type Claims struct {
 	Customer string `json:"cus"`
 	Session  string `json:"sid"`
-	// Versions is the session's version of each model it has used.
+	// Versions holds the session's version of each model it has used.
 	Versions map[string]string `json:"ver"`
 	jwt.RegisteredClaims
 }
@@ -25,11 +25,11 @@
 	keys    map[string][]byte
 }
 
-// NewKeyring returns a ring whose current key is current; keys maps key ids
+// NewKeyring returns a keyring that signs with the key current; keys maps key ids
 // to secrets of at least 32 bytes.
 func NewKeyring(current string, keys map[string][]byte) (*Keyring, error) {
 	if _, ok := keys[current]; !ok {
-		return nil, trace.BadParameter("session: current key %q is not in the ring", current)
+		return nil, trace.BadParameter("session: current key %q is not in the keyring", current)
 	}
 	for id, k := range keys {
 		if len(k) < 32 {
@@ -49,9 +49,8 @@
 	return s, trace.Wrap(err)
 }
 
-// ErrInvalid is returned for a token that is forged, expired, signed by an
-// unknown key, or malformed. The caller's session then starts afresh; it is
-// never an error to the caller.
+// ErrInvalid is returned for a token that is forged, expired, signed by an unknown
+// key, or malformed. The session is then treated as new; the caller gets no error.
 var ErrInvalid = trace.AccessDenied("session: token is not valid")
 
 // Verify checks tok at now and returns its claims.
