--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/lovageweir/lovageweir/kv/memkv"
 )
 
-// BenchmarkFlushPerRecord is the CPU and stored bytes per billed request
-// when one flush carries batch records (one KV write per flush).
+// BenchmarkFlushPerRecord measures CPU time and stored bytes per billed request
+// for several numbers of records per flush (one KV write each).
 func BenchmarkFlushPerRecord(b *testing.B) {
 	for _, batch := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
 			store := memkv.New(clockwork.NewFakeClock())
-			l := newLedger(store, "entry-a", 1, yes, clockwork.NewFakeClock())
+			l := newLedger(store, "entry-a", 1, always, clockwork.NewFakeClock())
 			ctx := context.Background()
 			b.ReportAllocs()
 			for i := 0; i < b.N; i++ {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -20,111 +20,110 @@
 	"github.com/lovageweir/lovageweir/standin/kvserver"
 )
 
-func yes() bool { return true }
-func no() bool  { return false }
+func always() bool { return true }
+func never() bool  { return false }
 
-func newLedger(c kv.KV, instance string, life int64, holder func() bool, clock clockwork.Clock) *Ledger {
-	return New(c, instance, life, holder, clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func newLedger(c kv.KV, instance string, incarnation int64, isHolder func() bool, clock clockwork.Clock) *Ledger {
+	return New(c, instance, incarnation, isHolder, clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func ok(rid string, tokens int) Record {
+func okRecord(rid string, tokens int) Record {
 	return Record{RequestID: rid, Customer: "c", Uses: []Use{{Model: "m", Version: "v", Tokens: tokens}}, Outcome: OutcomeOK}
 }
 
-// served opens and settles one request.
-func served(l *Ledger, rid string, tokens int) {
-	l.Open(ok(rid, 0))
-	l.Settle(context.Background(), ok(rid, tokens))
+// serve opens and settles one request.
+func serve(l *Ledger, rid string, tokens int) {
+	l.Open(okRecord(rid, 0))
+	l.Settle(context.Background(), okRecord(rid, tokens))
 }
 
-func standin(t *testing.T) (*kvserver.Server, kv.KV) {
+func newKVServer(t *testing.T) (*kvserver.Server, kv.KV) {
 	srv := kvserver.New(clockwork.NewFakeClock())
 	hs := httptest.NewServer(srv.Handler())
 	t.Cleanup(hs.Close)
 	return srv, etcdv3.New(hs.URL, nil)
 }
 
-// TestLostAckBillsOnce: symptom: a customer billed twice for one request.
-// Sequence: the entry flushes a batch; the KV applies it and the answer is
-// lost; the entry flushes again. Cause, if the retry made a new batch: the
-// same records would land under two keys. Here the retry rewrites the same
-// key create-only, so the KV holds the records once.
+// TestLostAckBillsOnce guards against billing a customer twice for one request:
+// the KV applies a batch, its answer is lost, and the entry flushes again. If the
+// retry made a new batch, the records would be stored under two keys; it rewrites
+// the same key create-only instead.
 func TestLostAckBillsOnce(t *testing.T) {
 	is := is.New(t)
-	srv, c := standin(t)
-	l := newLedger(c, "entry-a", 1, yes, clockwork.NewFakeClock())
+	srv, c := newKVServer(t)
+	l := newLedger(c, "entry-a", 1, always, clockwork.NewFakeClock())
 	ctx := context.Background()
 	for i := range 10 {
-		served(l, fmt.Sprintf("r%d", i), 5)
+		serve(l, fmt.Sprintf("r%d", i), 5)
 	}
 	srv.SetFaults(kvserver.Faults{DropAcks: true})
-	is.True(l.Flush(ctx) != nil) // outcome unknown: the write took effect, the answer was lost
-	is.True(l.Flush(ctx) != nil) // again
+	is.True(l.Flush(ctx) != nil) // outcome unknown: the write was applied, its answer lost
+	is.True(l.Flush(ctx) != nil) // the retry as well
 	srv.SetFaults(kvserver.Faults{})
-	served(l, "r10", 5)
-	is.NoErr(l.Flush(ctx)) // the pending batch is confirmed
-	is.NoErr(l.Flush(ctx)) // then the new record
-	totals, dropped, err := totalsOf(ctx, c)
+	serve(l, "r10", 5)
+	is.NoErr(l.Flush(ctx)) // the unconfirmed batch is confirmed
+	is.NoErr(l.Flush(ctx)) // then the new record is written
+	totals, dropped, err := customerTotals(ctx, c)
 	is.NoErr(err)
 	is.Equal(dropped, 0)
 	is.Equal(totals["c"], 55) // 11 requests x 5 tokens, each once
 	is.Equal(l.Waiting(), 0)
 }
 
-// TestKVDownKeepsRecords: symptom: requests served during a KV outage are
-// never billed. Sequence: the KV is down for several flushes, then returns.
-// Cause, if a failed flush dropped its batch: those records are gone. Here
-// the batch stays pending until a flush is confirmed.
+// TestKVDownKeepsRecords guards against requests served during a KV outage never
+// being billed: the KV is down for several flushes. If a failed flush dropped its
+// batch the records would be gone; the batch is kept until a flush is confirmed.
 func TestKVDownKeepsRecords(t *testing.T) {
 	is := is.New(t)
-	srv, c := standin(t)
-	l := newLedger(c, "entry-a", 1, yes, clockwork.NewFakeClock())
+	srv, c := newKVServer(t)
+	l := newLedger(c, "entry-a", 1, always, clockwork.NewFakeClock())
 	ctx := context.Background()
 	srv.SetFaults(kvserver.Faults{Down: true})
 	for i := range 3 {
-		served(l, fmt.Sprintf("r%d", i), 1)
+		serve(l, fmt.Sprintf("r%d", i), 1)
 		is.True(l.Flush(ctx) != nil)
 	}
 	srv.SetFaults(kvserver.Faults{})
 	is.NoErr(l.FlushAll(ctx))
-	totals, _, err := totalsOf(ctx, c)
+	totals, _, err := customerTotals(ctx, c)
 	is.NoErr(err)
 	is.Equal(totals["c"], 3)
 }
 
-// carry does one copy call from owner to holder; lose says where it breaks.
-func carry(owner, holder *Ledger, lose string) {
-	target := fmt.Sprintf("%s/%d", holder.instance, holder.life)
-	req, mark := owner.request(target)
-	if lose == "request" {
-		owner.lost()
+// replicate makes one copy call from owner to holder; lost is the message that is
+// lost: "request", "answer" or none.
+func replicate(owner, holder *Ledger, lost string) {
+	target := fmt.Sprintf("%s/%d", holder.instance, holder.incarnation)
+	req, changeSeq := owner.buildRequest(target)
+	if lost == "request" {
+		owner.resetHolder()
 		return
 	}
 	resp := holder.Keep(req)
-	if lose == "answer" {
-		owner.lost()
+	if lost == "answer" {
+		owner.resetHolder()
 		return
 	}
-	owner.confirmed(target, mark, resp.Durable)
+	owner.markAcked(target, changeSeq, resp.Durable)
 }
 
-// TestEntryCrashBillsWhatItServed: invariant 4. Symptom: answers given in
-// the last seconds before an entry crashed are never billed. Sequence: an
-// entry ends one request and has another in flight; both are copied to the
-// holder; the entry crashes before its flush. Cause, without copies: the
-// records lived in the crashed process only.
+// TestEntryCrashBillsWhatItServed covers invariant 4. It guards against requests
+// answered in the last seconds before an entry crashed never being billed: one
+// request has ended and another is in flight when the entry crashes before its
+// flush. Without the copies at the holder their records would exist only in the
+// crashed process.
 func TestEntryCrashBillsWhatItServed(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := memkv.New(clockwork.NewFakeClock())
-	owner := newLedger(store, "a", 1, no, clockwork.NewFakeClock())
-	holder := newLedger(store, "b", 1, yes, clockwork.NewFakeClock())
-	owner.Open(ok("in-flight", 0))
-	owner.Open(ok("not-run", 0))
-	served(owner, "ended", 7)
-	carry(owner, holder, "")
-	owner.Drop("not-run") // refused by every back end: must not be billed
-	carry(owner, holder, "")
+	owner := newLedger(store, "a", 1, never, clockwork.NewFakeClock())
+	holder := newLedger(store, "b", 1, always, clockwork.NewFakeClock())
+	owner.Open(okRecord("in-flight", 0))
+	owner.Open(okRecord("not-run", 0))
+	serve(owner, "ended", 7)
+	replicate(owner, holder, "")
+	owner.Drop("not-run") // refused by every back end: not billed
+	replicate(owner, holder, "")
 	holder.TakeOver(func(string, int64) bool { return false }) // a crashed
 	is.NoErr(holder.FlushAll(ctx))
 	recs, dropped, err := Read(ctx, store)
@@ -135,18 +134,17 @@
 	is.Equal(recs["in-flight"].Outcome, OutcomeUnknown)
 }
 
-// TestPropertyEachRequestIsBilledOnce: invariant 4 under any order of
-// requests, copies that break before or after they arrive, flushes that
-// fail or lose their answer, a change of holder, a holder crash, and an
-// owner that was taken for dead and goes on. Symptom guarded against: a
-// request billed twice, never, or for less than it used.
+// TestPropertyEachRequestIsBilledOnce checks invariant 4: no request is billed
+// twice, never, or for less than it used. It runs any order of requests, copy calls
+// lost before or after they arrive, flushes that fail or lose their answer, changes
+// and crashes of the holder, and an owner that is considered dead and goes on.
 func TestPropertyEachRequestIsBilledOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		fc := clockwork.NewFakeClock()
 		store := &flakyKV{Store: memkv.New(fc)}
-		owner := newLedger(store, "a", 1, no, fc)
-		holders := []*Ledger{newLedger(store, "b", 1, yes, fc), newLedger(store, "c", 1, yes, fc)}
+		owner := newLedger(store, "a", 1, never, fc)
+		holders := []*Ledger{newLedger(store, "b", 1, always, fc), newLedger(store, "c", 1, always, fc)}
 		want, open := map[string]int{}, []string{}
 		for i, n := 0, rapid.IntRange(1, 60).Draw(rt, "steps"); i < n; i++ {
 			h := rapid.IntRange(0, 1).Draw(rt, "holder")
@@ -154,34 +152,34 @@
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0:
 				rid := fmt.Sprintf("r%d", i)
-				owner.Open(ok(rid, 0))
+				owner.Open(okRecord(rid, 0))
 				open = append(open, rid)
 			case 1:
 				if len(open) > 0 {
 					tokens := rapid.IntRange(1, 9).Draw(rt, "tokens")
 					want[open[0]] = tokens
-					owner.lost() // no second entry to wait for in this test
-					owner.Settle(ctx, ok(open[0], tokens))
+					owner.resetHolder() // so that Settle does not wait for a copy
+					owner.Settle(ctx, okRecord(open[0], tokens))
 					open = open[1:]
 				}
 			case 2:
-				carry(owner, holders[h], rapid.SampledFrom([]string{"", "request", "answer"}).Draw(rt, "lose"))
+				replicate(owner, holders[h], rapid.SampledFrom([]string{"", "request", "answer"}).Draw(rt, "lose"))
 			case 3:
 				_ = holders[h].Flush(ctx)
-			case 4: // the holder takes the paused owner for dead
+			case 4: // the holder considers the paused owner dead
 				holders[h].TakeOver(func(string, int64) bool { return false })
 			case 5: // the holder crashes and is replaced
-				holders[h] = newLedger(store, holders[h].instance, holders[h].life+1, yes, fc)
+				holders[h] = newLedger(store, holders[h].instance, holders[h].incarnation+1, always, fc)
 			case 6:
-				fc.Advance(ownAfter)
+				fc.Advance(selfWriteDelay)
 				_ = owner.Flush(ctx)
 			}
 		}
 		store.mode = ""
-		for _, rid := range open { // what is still open ends
+		for _, rid := range open { // end the requests that are still open
 			want[rid] = 1
-			owner.lost()
-			owner.Settle(ctx, ok(rid, 1))
+			owner.resetHolder()
+			owner.Settle(ctx, okRecord(rid, 1))
 		}
 		for _, l := range []*Ledger{owner, holders[0], holders[1]} {
 			if err := l.FlushAll(ctx); err != nil {
@@ -190,11 +188,11 @@
 		}
 		got, _, err := Read(ctx, store)
 		if err != nil || len(got) != len(want) {
-			rt.Fatalf("billed %d requests, want %d (%v)", len(got), len(want), err)
+			rt.Fatalf("billed %d requests, want %d (error: %v)", len(got), len(want), err)
 		}
 		for rid, tokens := range want {
 			if got[rid].Tokens() != tokens {
-				rt.Fatalf("%s billed for %d tokens, used %d", rid, got[rid].Tokens(), tokens)
+				rt.Fatalf("request %s billed for %d tokens, want %d", rid, got[rid].Tokens(), tokens)
 			}
 		}
 	})
@@ -217,23 +215,21 @@
 	return done, rev, cur, err
 }
 
-// TestDropSurvivesALostCopy: invariant 4. Symptom: a caller that was told
-// "not run" is billed. Sequence: a request is opened and copied, refused by
-// every back end, the copy that says so is lost, and the entry dies. Cause,
-// if only changes were ever copied: the holder bills the request. Here a
-// request that did not run is never
-// billed by the holder, even when the copy that said so was lost.
+// TestDropSurvivesALostCopy covers invariant 4. It guards against billing a caller
+// that was told "not run": a request is opened and copied, refused by every back
+// end, the copy that drops it is lost, and the entry dies. If only changes were
+// copied the holder would bill it; the full copy that follows a lost one drops it.
 func TestDropSurvivesALostCopy(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := memkv.New(clockwork.NewFakeClock())
-	owner := newLedger(store, "a", 1, no, clockwork.NewFakeClock())
-	holder := newLedger(store, "b", 1, yes, clockwork.NewFakeClock())
-	owner.Open(ok("not-run", 0))
-	carry(owner, holder, "")
+	owner := newLedger(store, "a", 1, never, clockwork.NewFakeClock())
+	holder := newLedger(store, "b", 1, always, clockwork.NewFakeClock())
+	owner.Open(okRecord("not-run", 0))
+	replicate(owner, holder, "")
 	owner.Drop("not-run")
-	carry(owner, holder, "request")
-	carry(owner, holder, "") // a whole copy
+	replicate(owner, holder, "request")
+	replicate(owner, holder, "") // a full copy
 	holder.TakeOver(func(string, int64) bool { return false })
 	is.NoErr(holder.FlushAll(ctx))
 	recs, _, err := Read(ctx, store)
@@ -242,8 +238,9 @@
 	is.Equal(holder.Keep(&peerpb.ShadowRequest{Owner: "a", Life: 1}).Durable, nil)
 }
 
-// totalsOf sums Read's records: tokens per customer.
-func totalsOf(ctx context.Context, c kv.KV) (map[string]int, int, error) {
+// customerTotals returns the billed tokens per customer and the number of
+// duplicates that Read dropped.
+func customerTotals(ctx context.Context, c kv.KV) (map[string]int, int, error) {
 	recs, dropped, err := Read(ctx, c)
 	if err != nil {
 		return nil, 0, err
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -9,18 +9,18 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Prefix is where batches live in the KV.
+// Prefix is the KV prefix of batches.
 const Prefix = "/lovageweir/ledger/"
 
 // Outcomes of a record.
 const (
 	OutcomeOK = "ok"
-	// OutcomeUnknown is a request that may have run and whose whole answer
-	// did not reach the caller; it is billed for the tokens seen.
+	// OutcomeUnknown marks a request that may have run but whose answer did not
+	// reach the caller in full. It is billed for the tokens seen.
 	OutcomeUnknown = "outcome_unknown"
 )
 
-// Use is what a request used of one version.
+// Use is the token usage of a request at one model version.
 type Use struct {
 	Model   string `json:"mdl"`
 	Version string `json:"ver"`
@@ -31,13 +31,13 @@
 type Record struct {
 	RequestID string `json:"id"`
 	Customer  string `json:"cus"`
-	// Uses has one item per version that worked on the request: several for
-	// a cascade that went on to a costlier model.
+	// Uses has one item per version that processed the request: several if a
+	// cascade escalated to a costlier model.
 	Uses    []Use  `json:"use"`
 	Outcome string `json:"out"`
 }
 
-// Tokens is the sum over all uses.
+// Tokens returns the sum over all uses.
 func (r Record) Tokens() int {
 	n := 0
 	for _, u := range r.Uses {
@@ -46,18 +46,18 @@
 	return n
 }
 
-// better says which of two records of one request id counts. A paused owner
-// and the holder that took it for dead may both have billed it; the owner's
-// own record knows more.
-func better(a, b Record) bool {
+// supersedes reports whether a counts rather than b, of two records with the same
+// request id. A paused owner and the holder that considered it dead may both have
+// billed the request; the owner's own record is the more complete one.
+func supersedes(a, b Record) bool {
 	if (a.Outcome == OutcomeOK) != (b.Outcome == OutcomeOK) {
 		return a.Outcome == OutcomeOK
 	}
 	return a.Tokens() > b.Tokens()
 }
 
-// Read returns every record under Prefix, one per request id, and how many
-// repeated ones it dropped.
+// Read returns the records under Prefix, one per request id, and the number of
+// duplicates dropped.
 func Read(ctx context.Context, c kv.KV) (map[string]Record, int, error) {
 	_, kvs, err := c.Get(ctx, Prefix, true)
 	if err != nil {
@@ -74,7 +74,7 @@
 			if seen {
 				dropped++
 			}
-			if !seen || better(r, cur) {
+			if !seen || supersedes(r, cur) {
 				out[r.RequestID] = r
 			}
 		}
