--- a/idem/doc.go
+++ b/idem/doc.go
@@ -1,18 +1,18 @@
 // Package idem makes a non-idempotent request (a tenant reminder, a pallet
-// posting) run at most once across all entries. Before dispatch the entry
-// claims the caller's idempotency key in the platform KV, create-only; a
-// second request with the same key, through any entry, finds the claim and
-// is refused without running.
+// posting) run at most once across all entries. Before dispatch the entry claims
+// the caller's idempotency key in the platform KV, create-only. A second request
+// with the same key, through any entry, finds the claim and is refused without
+// running.
 //
-// What goes wrong without care, and what is done:
-//   - The claim's answer is lost after the write took effect: the claim is
-//     re-read, and our own request id in it means we hold it.
-//   - The KV cannot confirm either way: the request is refused as not run,
-//     since running it could make it run twice. The claim may have landed,
-//     and would then refuse the caller's repeat of a request that never ran;
-//     so it is queued and released once the KV answers.
-//   - A claimed request turns out not to have run (no capacity): the claim is
-//     released, by compare-and-delete so a repeated release never removes
-//     another request's claim.
-//   - Claims would pile up: each hangs on a lease and vanishes with it.
+// Failures and how they are handled:
+//   - The answer to a claim is lost after the write took effect. The claim is read
+//     back; if it contains the request's own id, the request holds it.
+//   - The KV cannot confirm either way. The request is refused as not run, because
+//     running it could run it twice. The claim may still have been written and
+//     would then refuse a retry of a request that never ran, so it is queued and
+//     released once the KV answers.
+//   - A claimed request did not run (no capacity). Its claim is released by
+//     compare-and-delete, so that a repeated release never removes another
+//     request's claim.
+//   - Claims would accumulate. Each is attached to a lease and expires with it.
 package idem
--- a/idem/idem.go
+++ b/idem/idem.go
@@ -13,21 +13,21 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Prefix is where claims live.
+// Prefix is the KV prefix of claims.
 const Prefix = "/lovageweir/idem/"
 
-// Window is for how long at least a key is remembered.
+// Window is the minimum time for which a key is remembered.
 const Window = 24 * time.Hour
 
-// leaseShare is how long one lease takes new claims: one grant per entry and
-// hour rather than one per claim. A lease lives Window + leaseShare.
-const leaseShare = time.Hour
+// leaseRotation is how long a lease is used for new claims, so that an entry needs
+// one grant per hour rather than one per claim. A lease lasts Window + leaseRotation.
+const leaseRotation = time.Hour
 
 // Errors from Claim.
 var (
-	// ErrDuplicate: another request already claimed the key.
+	// ErrDuplicate means that another request already claimed the key.
 	ErrDuplicate = errors.New("idem: the idempotency key was already used")
-	// ErrUnconfirmed: the KV could not confirm the claim.
+	// ErrUnconfirmed means that the KV could not confirm the claim.
 	ErrUnconfirmed = errors.New("idem: the claim could not be confirmed")
 )
 
@@ -36,24 +36,24 @@
 	kv    kv.Client
 	clock clockwork.Clock
 
-	mu         sync.Mutex // guards the fields below; never held across a KV call
-	lease      kv.LeaseID
-	leaseUntil time.Time
-	release    map[held]bool // claims of requests that did not run
+	mu             sync.Mutex // guards the fields below; never held across a KV call
+	lease          kv.LeaseID
+	leaseUntil     time.Time
+	pendingRelease map[claimRef]bool // claims of requests that did not run
 }
 
-// held is one claim: the KV key and the request that took it.
-type held struct{ key, rid string }
+// claimRef identifies a claim: its KV key and the request that holds it.
+type claimRef struct{ key, requestID string }
 
-// New returns claims over c.
+// New returns a Claims that uses c.
 func New(c kv.Client, clock clockwork.Clock) *Claims {
-	return &Claims{kv: c, clock: clock, release: map[held]bool{}}
+	return &Claims{kv: c, clock: clock, pendingRelease: map[claimRef]bool{}}
 }
 
 func claimKey(customer, key string) string { return Prefix + customer + "/" + key }
 
-// Claim takes key for customer on behalf of request rid. On ErrUnconfirmed
-// the claim may have landed; it is then released by Sweep.
+// Claim claims key of customer for request rid. On ErrUnconfirmed the claim may
+// have been written; Sweep then releases it.
 func (c *Claims) Claim(ctx context.Context, customer, key, rid string) error {
 	lease, err := c.currentLease(ctx)
 	if err != nil {
@@ -66,7 +66,7 @@
 		c.forgetLease(lease) // nothing was written
 		return ErrUnconfirmed
 	case err != nil:
-		return c.reread(ctx, k, rid)
+		return c.resolve(ctx, k, rid)
 	case ok:
 		return nil
 	case cur != nil && string(cur.Value) == rid:
@@ -75,8 +75,8 @@
 	return ErrDuplicate
 }
 
-// reread settles a claim whose answer was lost.
-func (c *Claims) reread(ctx context.Context, k, rid string) error {
+// resolve reads back a claim whose answer was lost.
+func (c *Claims) resolve(ctx context.Context, k, rid string) error {
 	_, kvs, err := c.kv.Get(ctx, k, false)
 	switch {
 	case err == nil && len(kvs) == 1 && string(kvs[0].Value) == rid:
@@ -84,57 +84,58 @@
 	case err == nil && len(kvs) == 1:
 		return ErrDuplicate
 	}
-	// Absent now, the write may still be on its way: release it later too.
-	c.queue(k, rid)
+	// The KV did not answer, or the key is absent and the write may still arrive:
+	// release it later.
+	c.queueRelease(k, rid)
 	return ErrUnconfirmed
 }
 
-// Release gives back the claim of a request that provably did not run.
-func (c *Claims) Release(customer, key, rid string) { c.queue(claimKey(customer, key), rid) }
+// Release queues the release of the claim of a request that provably did not run.
+func (c *Claims) Release(customer, key, rid string) { c.queueRelease(claimKey(customer, key), rid) }
 
-func (c *Claims) queue(k, rid string) {
+func (c *Claims) queueRelease(k, rid string) {
 	c.mu.Lock()
-	c.release[held{k, rid}] = true
+	c.pendingRelease[claimRef{k, rid}] = true
 	c.mu.Unlock()
 }
 
-// Pending is how many claims wait to be released.
+// Pending returns the number of claims queued for release.
 func (c *Claims) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.release)
+	return len(c.pendingRelease)
 }
 
-// Sweep tries to release what is queued; what the KV does not confirm stays
+// Sweep tries to release the queued claims. Those that the KV does not confirm stay
 // queued for the next Sweep.
 func (c *Claims) Sweep(ctx context.Context) {
 	c.mu.Lock()
-	todo := slices.Collect(maps.Keys(c.release))
+	queued := slices.Collect(maps.Keys(c.pendingRelease))
 	c.mu.Unlock()
-	for _, h := range todo {
-		if !c.releaseOne(ctx, h) {
+	for _, ref := range queued {
+		if !c.releaseOne(ctx, ref) {
 			continue
 		}
 		c.mu.Lock()
-		delete(c.release, h)
+		delete(c.pendingRelease, ref)
 		c.mu.Unlock()
 	}
 }
 
-// releaseOne reports whether h surely holds its key no longer.
-func (c *Claims) releaseOne(ctx context.Context, h held) bool {
-	_, kvs, err := c.kv.Get(ctx, h.key, false)
+// releaseOne reports whether ref is confirmed to hold its key no longer.
+func (c *Claims) releaseOne(ctx context.Context, ref claimRef) bool {
+	_, kvs, err := c.kv.Get(ctx, ref.key, false)
 	if err != nil {
 		return false
 	}
-	if len(kvs) == 0 || string(kvs[0].Value) != h.rid {
+	if len(kvs) == 0 || string(kvs[0].Value) != ref.requestID {
 		return true
 	}
-	_, err = c.kv.CompareAndDelete(ctx, h.key, kvs[0].ModRevision)
+	_, err = c.kv.CompareAndDelete(ctx, ref.key, kvs[0].ModRevision)
 	return err == nil
 }
 
-// currentLease returns the lease that new claims hang on.
+// currentLease returns the lease for new claims.
 func (c *Claims) currentLease(ctx context.Context) (kv.LeaseID, error) {
 	c.mu.Lock()
 	id, until := c.lease, c.leaseUntil
@@ -143,12 +144,12 @@
 	if id != 0 && now.Before(until) {
 		return id, nil
 	}
-	id, err := c.kv.Grant(ctx, Window+leaseShare)
+	id, err := c.kv.Grant(ctx, Window+leaseRotation)
 	if err != nil {
 		return 0, err
 	}
 	c.mu.Lock()
-	c.lease, c.leaseUntil = id, now.Add(leaseShare)
+	c.lease, c.leaseUntil = id, now.Add(leaseRotation)
 	c.mu.Unlock()
 	return id, nil
 }
--- a/idem/idem_test.go
+++ b/idem/idem_test.go
@@ -15,28 +15,28 @@
 	"github.com/lovageweir/lovageweir/kv/memkv"
 )
 
-// flaky is a KV whose next calls can fail before or after taking effect.
-type flaky struct {
+// faultyKV is a KV whose calls can fail before or after taking effect.
+type faultyKV struct {
 	*memkv.Store
 	down    bool // calls fail and do nothing
 	lostAck bool // writes take effect and then fail
 }
 
-func (f *flaky) Get(ctx context.Context, k string, p bool) (kv.Revision, []kv.KeyValue, error) {
+func (f *faultyKV) Get(ctx context.Context, k string, p bool) (kv.Revision, []kv.KeyValue, error) {
 	if f.down {
 		return 0, nil, kv.ErrUnavailable
 	}
 	return f.Store.Get(ctx, k, p)
 }
 
-func (f *flaky) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+func (f *faultyKV) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	if f.down {
 		return 0, kv.ErrUnavailable
 	}
 	return f.Store.Grant(ctx, ttl)
 }
 
-func (f *flaky) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
+func (f *faultyKV) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
 	if f.down {
 		return false, 0, nil, kv.ErrUnavailable
 	}
@@ -47,7 +47,7 @@
 	return ok, rev, cur, err
 }
 
-func (f *flaky) CompareAndDelete(ctx context.Context, k string, e kv.Revision) (bool, error) {
+func (f *faultyKV) CompareAndDelete(ctx context.Context, k string, e kv.Revision) (bool, error) {
 	if f.down {
 		return false, kv.ErrUnavailable
 	}
@@ -58,51 +58,48 @@
 	return ok, err
 }
 
-// TestLostAckThenOutageDoesNotEatTheRequest: invariants 6 and 7. Symptom: a
-// tenant reminder is never sent, yet every repeat is told "duplicate".
-// Sequence: an entry claims the key; the write lands, its answer is lost,
-// and the KV goes down before the claim can be re-read; the request is
-// refused as not run; the caller comes back later with the same key.
-// Cause: nothing releases the claim of a request that never ran.
-func TestLostAckThenOutageDoesNotEatTheRequest(t *testing.T) {
+// TestLostAckThenOutageReleasesClaim covers invariants 6 and 7. It guards against a
+// tenant reminder that is never sent although every retry is refused as a duplicate:
+// a claim is written, its answer is lost, and the KV goes down before the claim can
+// be read back, so the request is refused as not run and its claim must be released.
+func TestLostAckThenOutageReleasesClaim(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	f := &flaky{Store: memkv.New(clockwork.NewFakeClock())}
+	f := &faultyKV{Store: memkv.New(clockwork.NewFakeClock())}
 	a, b := New(f, clockwork.NewFakeClock()), New(f, clockwork.NewFakeClock())
 	is.NoErr(a.Claim(ctx, "c", "warm-up", "a-0")) // the lease is granted
-	down := &dropThenDown{flaky: f}
+	down := &lostAckThenDown{faultyKV: f}
 	a.kv = down
 	is.Equal(a.Claim(ctx, "c", "k", "a-1"), ErrUnconfirmed)
 	a.Sweep(ctx) // the KV is still down: the claim stays queued
 	is.Equal(a.Pending(), 1)
 	f.down = false
-	is.Equal(b.Claim(ctx, "c", "k", "b-0"), ErrDuplicate) // the claim did land
+	is.Equal(b.Claim(ctx, "c", "k", "b-0"), ErrDuplicate) // the claim was written
 	a.Sweep(ctx)
 	is.Equal(a.Pending(), 0)
-	is.NoErr(b.Claim(ctx, "c", "k", "b-1")) // the repeat now runs
+	is.NoErr(b.Claim(ctx, "c", "k", "b-1")) // the retry now runs
 	a.Sweep(ctx)
 	is.Equal(b.Claim(ctx, "c", "k", "b-2"), ErrDuplicate) // and only once
 }
 
-// dropThenDown loses the answer of the first write and is down afterwards.
-type dropThenDown struct{ *flaky }
+// lostAckThenDown loses the answer to the first write and is down afterwards.
+type lostAckThenDown struct{ *faultyKV }
 
-func (d *dropThenDown) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
-	_, _, _, _ = d.flaky.CompareAndPut(ctx, k, e, v, l)
-	d.flaky.down = true
+func (d *lostAckThenDown) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
+	_, _, _, _ = d.faultyKV.CompareAndPut(ctx, k, e, v, l)
+	d.faultyKV.down = true
 	return false, 0, nil, kv.ErrUnavailable
 }
 
-// TestPropertyAKeyRunsAtMostOnce: invariant 7. Symptom: a pallet is posted
-// twice. Sequence: any order of claims by two entries on a few keys, with
-// the KV down or losing answers, and releases of requests that did not run.
-// Cause, without compare-and-delete or the re-read: two requests both
-// believe that they hold the key.
+// TestPropertyAKeyRunsAtMostOnce covers invariant 7: a pallet is never posted twice.
+// Two entries claim a few keys in any order, with the KV down or losing answers and
+// with releases of requests that did not run. Without compare-and-delete or the read
+// back, two requests could both consider themselves holders of a key.
 func TestPropertyAKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		fc := clockwork.NewFakeClock()
-		f := &flaky{Store: memkv.New(fc)}
+		f := &faultyKV{Store: memkv.New(fc)}
 		entries := []*Claims{New(f, fc), New(f, fc)}
 		ran := map[string]int{}
 		for i, n := 0, rapid.IntRange(1, 40).Draw(rt, "steps"); i < n; i++ {
