--- a/duty/duty.go
+++ b/duty/duty.go
@@ -12,114 +12,115 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// Prefix is where duties live in the KV.
+// Prefix is the KV prefix of duties.
 const Prefix = "/lovageweir/duty/"
 
-// TTL is a duty's lease. A holder that dies is replaced that much later.
+// TTL is the duration of a duty's lease. A holder that dies can be replaced once the
+// lease has expired.
 const TTL = 10 * time.Second
 
-// margin is how long before the lease ends a holder stops: the time that an
-// act already begun may take to arrive.
-const margin = 2 * time.Second
+// safetyMargin is how long before the end of its lease a holder stops acting. It
+// covers the time that an action already begun may take to arrive.
+const safetyMargin = 2 * time.Second
 
-// Duty is one process's side of a duty.
+// Duty is one process's handle on a duty.
 type Duty struct {
-	kv    kv.Client
-	clock clockwork.Clock
-	key   string
-	me    string
+	kv       kv.Client
+	clock    clockwork.Clock
+	key      string
+	holderID string
 
-	renewing sync.Mutex // one Renew at a time
+	renewMu sync.Mutex // serializes Renew
 
-	mu    sync.Mutex // guards the fields below; never held across a call
-	tries int
-	lease kv.LeaseID
-	fence kv.Revision
-	until time.Time
+	mu         sync.Mutex // guards the fields below; never held across a KV call
+	attempts   int
+	lease      kv.LeaseID
+	fence      kv.Revision
+	validUntil time.Time
 }
 
-// New returns the duty name for a process that calls itself me; me must be
-// unique to this life of the process.
-func New(c kv.Client, name, me string, clock clockwork.Clock) *Duty {
-	return &Duty{kv: c, clock: clock, key: Prefix + name, me: me}
+// New returns the duty called name for the process identified by holderID, which
+// must be unique to this incarnation of the process.
+func New(c kv.Client, name, holderID string, clock clockwork.Clock) *Duty {
+	return &Duty{kv: c, clock: clock, key: Prefix + name, holderID: holderID}
 }
 
-// Held returns the fencing number if the duty is held now. Callers ask right
-// before each act, not once for many.
+// Held reports whether the duty is held now and returns its fencing token. Callers
+// must call it right before each action, not once for several.
 func (d *Duty) Held() (fence kv.Revision, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fence, d.lease != 0 && d.clock.Now().Before(d.until)
+	return d.fence, d.lease != 0 && d.clock.Now().Before(d.validUntil)
 }
 
-// Renew renews the duty, or tries to take it. It is called every TTL/3.
+// Renew renews the duty, or tries to acquire it. It should be called every TTL/3.
 func (d *Duty) Renew(ctx context.Context) error {
-	d.renewing.Lock()
-	defer d.renewing.Unlock()
+	d.renewMu.Lock()
+	defer d.renewMu.Unlock()
 	d.mu.Lock()
 	lease := d.lease
 	d.mu.Unlock()
 	if lease == 0 {
-		return d.take(ctx)
+		return d.acquire(ctx)
 	}
-	asked := d.clock.Now()
+	requested := d.clock.Now()
 	ttl, err := d.kv.KeepAlive(ctx, lease)
 	switch {
 	case errors.Is(err, kv.ErrLeaseNotFound):
-		d.lose() // it lapsed: another may hold the duty
+		d.markLost() // the lease expired: another process may hold the duty
 		return nil
 	case err != nil:
-		return err // until stands: the duty ends by itself if this goes on
+		return err // validUntil is unchanged: the duty ends by itself if renewals keep failing
 	}
 	d.mu.Lock()
-	d.until = asked.Add(ttl - margin)
+	d.validUntil = requested.Add(ttl - safetyMargin)
 	d.mu.Unlock()
 	return nil
 }
 
-func (d *Duty) take(ctx context.Context) error {
-	asked := d.clock.Now()
+func (d *Duty) acquire(ctx context.Context) error {
+	requested := d.clock.Now()
 	lease, err := d.kv.Grant(ctx, TTL)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
-	d.tries++
-	value := fmt.Sprintf("%s/%d", d.me, d.tries) // tells this try from earlier ones
+	d.attempts++
+	value := fmt.Sprintf("%s/%d", d.holderID, d.attempts) // distinguishes this attempt from earlier ones
 	d.mu.Unlock()
 	ok, rev, _, err := d.kv.CompareAndPut(ctx, d.key, 0, []byte(value), lease)
 	if err != nil {
-		// It may have taken effect: the key tells.
-		_, kvs, rerr := d.kv.Get(ctx, d.key, false)
-		if rerr != nil || len(kvs) == 0 || string(kvs[0].Value) != value {
-			return err // if it did, the lease lapses and the duty is free again
+		// The write may have taken effect; read the key back.
+		_, kvs, readErr := d.kv.Get(ctx, d.key, false)
+		if readErr != nil || len(kvs) == 0 || string(kvs[0].Value) != value {
+			return err // if the write took effect, the key expires with the lease
 		}
 		ok, rev = true, kvs[0].ModRevision
 	}
-	if !ok { // another holds it
+	if !ok { // another process holds it
 		_ = d.kv.Revoke(ctx, lease)
 		return nil
 	}
 	d.mu.Lock()
-	d.lease, d.fence, d.until = lease, rev, asked.Add(TTL-margin)
+	d.lease, d.fence, d.validUntil = lease, rev, requested.Add(TTL-safetyMargin)
 	d.mu.Unlock()
 	return nil
 }
 
-func (d *Duty) lose() {
+func (d *Duty) markLost() {
 	d.mu.Lock()
 	d.lease, d.fence = 0, 0
 	d.mu.Unlock()
 }
 
-// Resign gives the duty up at a planned stop, so that another takes it at
-// once.
+// Resign releases the duty at a planned stop, so that another process can acquire
+// it at once.
 func (d *Duty) Resign(ctx context.Context) {
 	d.mu.Lock()
 	lease := d.lease
 	d.mu.Unlock()
-	d.lose()
+	d.markLost()
 	if lease != 0 {
-		_ = d.kv.Revoke(ctx, lease) // if it fails the lease lapses
+		_ = d.kv.Revoke(ctx, lease) // if this fails the lease expires
 	}
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -15,11 +15,10 @@
 	"github.com/lovageweir/lovageweir/kv/memkv"
 )
 
-// TestPausedHolderIsFenced: symptom: two processes give orders at once.
-// Sequence: a holder is paused past its lease, another takes the duty, the
-// first resumes. Cause, if it went by what it last heard: it would still
-// call itself the holder. By its own clock its time is over; and should an
-// act of it be under way, its fencing number is the lower.
+// TestPausedHolderIsFenced guards against two processes acting at once: a holder is
+// paused past its lease, another acquires the duty, and the first resumes. Going by
+// its last renewal alone it would still consider itself the holder. Its own clock
+// ends its tenure, and an action already under way carries the lower fencing token.
 func TestPausedHolderIsFenced(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -39,8 +38,8 @@
 	is.True(fence > old)
 	_, ok = a.Held() // a resumes
 	is.True(!ok)
-	is.NoErr(a.Renew(ctx)) // and learns that its lease is gone
-	is.NoErr(a.Renew(ctx)) // it may apply again, in vain
+	is.NoErr(a.Renew(ctx)) // and learns that its lease has expired
+	is.NoErr(a.Renew(ctx)) // trying to acquire the duty again fails
 	_, ok = a.Held()
 	is.True(!ok)
 	b.Resign(ctx)
@@ -49,88 +48,88 @@
 	is.True(ok)
 }
 
-// unsteady is a KV that may fail before or after a call took effect.
-type unsteady struct {
+// faultyKV is a KV whose calls can fail before or after taking effect.
+type faultyKV struct {
 	*memkv.Store
-	mode string
+	mode string // "", "down", "lost"
 }
 
-func (u *unsteady) before() error {
-	if u.mode == "down" {
+func (f *faultyKV) before() error {
+	if f.mode == "down" {
 		return kv.ErrUnavailable
 	}
 	return nil
 }
 
-func (u *unsteady) after(err error) error {
-	if u.mode == "lost" {
+func (f *faultyKV) after(err error) error {
+	if f.mode == "lost" {
 		return kv.ErrUnavailable
 	}
 	return err
 }
 
-func (u *unsteady) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	if err := u.before(); err != nil {
+func (f *faultyKV) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+	if err := f.before(); err != nil {
 		return 0, err
 	}
-	id, err := u.Store.Grant(ctx, ttl)
-	return id, u.after(err)
+	id, err := f.Store.Grant(ctx, ttl)
+	return id, f.after(err)
 }
 
-func (u *unsteady) KeepAlive(ctx context.Context, id kv.LeaseID) (time.Duration, error) {
-	if err := u.before(); err != nil {
+func (f *faultyKV) KeepAlive(ctx context.Context, id kv.LeaseID) (time.Duration, error) {
+	if err := f.before(); err != nil {
 		return 0, err
 	}
-	ttl, err := u.Store.KeepAlive(ctx, id)
-	return ttl, u.after(err)
+	ttl, err := f.Store.KeepAlive(ctx, id)
+	return ttl, f.after(err)
 }
 
-func (u *unsteady) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
-	if err := u.before(); err != nil {
+func (f *faultyKV) CompareAndPut(ctx context.Context, k string, e kv.Revision, v []byte, l kv.LeaseID) (bool, kv.Revision, *kv.KeyValue, error) {
+	if err := f.before(); err != nil {
 		return false, 0, nil, err
 	}
-	ok, rev, cur, err := u.Store.CompareAndPut(ctx, k, e, v, l)
-	return ok, rev, cur, u.after(err)
+	ok, rev, cur, err := f.Store.CompareAndPut(ctx, k, e, v, l)
+	return ok, rev, cur, f.after(err)
 }
 
-// TestPropertyOneHolderAndRisingFences: whatever the KV does and however
-// long processes are paused, no two hold the duty at once, and fencing
-// numbers only rise from holder to holder.
-func TestPropertyOneHolderAndRisingFences(t *testing.T) {
+// TestPropertyOneHolderAndIncreasingFencingTokens checks that, whatever faults the KV
+// has and however long processes are paused, no two hold the duty at once and
+// fencing tokens only increase from holder to holder.
+func TestPropertyOneHolderAndIncreasingFencingTokens(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		fc := clockwork.NewFakeClock()
-		store := &unsteady{Store: memkv.New(fc)}
-		var ds []*Duty
+		store := &faultyKV{Store: memkv.New(fc)}
+		var processes []*Duty
 		for i := range 3 {
-			ds = append(ds, New(store, "x", fmt.Sprintf("p%d", i), fc))
+			processes = append(processes, New(store, "x", fmt.Sprintf("p%d", i), fc))
 		}
 		last, lastFence := -1, kv.Revision(0)
 		for i, n := 0, rapid.IntRange(1, 60).Draw(rt, "steps"); i < n; i++ {
 			store.mode = rapid.SampledFrom([]string{"", "", "", "down", "lost"}).Draw(rt, "kv")
-			who := rapid.IntRange(0, 2).Draw(rt, "who")
+			process := rapid.IntRange(0, 2).Draw(rt, "who")
 			switch rapid.IntRange(0, 9).Draw(rt, "step") {
 			case 0:
-				ds[who].Resign(ctx)
+				processes[process].Resign(ctx)
 			case 1, 2, 3:
 				fc.Advance(time.Duration(rapid.IntRange(1, 15).Draw(rt, "seconds")) * time.Second)
 			default:
-				_ = ds[who].Renew(ctx)
+				_ = processes[process].Renew(ctx)
 			}
 			holders := 0
-			for w, d := range ds {
+			for p, d := range processes {
 				fence, ok := d.Held()
 				if !ok {
 					continue
 				}
 				holders++
-				if w != last && fence <= lastFence || fence < lastFence {
-					rt.Fatalf("p%d holds with fence %d after p%d had %d", w, fence, last, lastFence)
+				if p != last && fence <= lastFence || fence < lastFence {
+					rt.Fatalf("p%d holds the duty with fencing token %d after p%d had %d", p, fence, last, lastFence)
 				}
-				last, lastFence = w, fence
+				last, lastFence = p, fence
 			}
 			if holders > 1 {
-				rt.Fatalf("%d holders", holders)
+				rt.Fatalf("%d holders at once", holders)
 			}
 		}
 	})
