--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -20,10 +20,10 @@
 	"github.com/lovageweir/lovageweir/standin/engine"
 )
 
-// direct reads what the one engine has loaded.
-type direct struct{ e *engine.Engine }
+// engineReports reports what its engine has loaded.
+type engineReports struct{ e *engine.Engine }
 
-func (d direct) Loaded(string) string { return d.e.State().Loaded }
+func (r engineReports) Loaded(string) string { return r.e.State().Loaded }
 
 // tableFor configures the engine at addr to serve version.
 func tableFor(addr, version string) func() *route.Table {
@@ -32,32 +32,32 @@
 	return func() *route.Table { return t }
 }
 
-func yes() bool { return true }
+func always() bool { return true }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// late is a duty whose holder does not notice that its time is over: the
-// worst case, an order already under way when the holder was paused.
-type late struct {
+// staleHolder is a duty whose holder does not notice that it lost it. This is the
+// worst case: an order was already under way when the holder was paused.
+type staleHolder struct {
 	*duty.Duty
 	fence kv.Revision
 }
 
-func (l late) Renew(context.Context) error { return nil }
-func (l late) Held() (kv.Revision, bool)   { return l.fence, true }
+func (h staleHolder) Renew(context.Context) error { return nil }
+func (h staleHolder) Held() (kv.Revision, bool)   { return h.fence, true }
 
-// TestOrderOfAPausedHolder: invariant 2. Symptom: an engine goes back to a
-// withdrawn version. Sequence: a holder is paused with an order to load v1
-// under way, loses the duty, the new holder has v2 loaded, the old order
-// arrives. An engine that checks fencing numbers refuses it; one that does
-// not obeys, and the holder puts it right after its next report.
+// TestOrderOfAPausedHolder covers invariant 2. It guards against an engine going back
+// to a withdrawn version: a holder is paused with an order to load v1 under way and
+// loses the duty, the new holder has v2 loaded, and then the old order arrives. An
+// engine that checks fencing tokens refuses it; one that does not obeys it, and the
+// new holder corrects it after the engine's next report.
 func TestOrderOfAPausedHolder(t *testing.T) {
-	for _, ignores := range []bool{false, true} {
+	for _, ignoresFencing := range []bool{false, true} {
 		is := is.New(t)
 		ctx := context.Background()
 		fc := clockwork.NewFakeClock()
 		store := memkv.New(fc)
-		e := engine.New(engine.Settings{Model: "m", Version: "v0", IgnoreFencing: ignores}, quiet)
+		e := engine.New(engine.Settings{Model: "m", Version: "v0", IgnoreFencing: ignoresFencing}, discardLog)
 		srv := httptest.NewServer(e.Handler())
 		defer srv.Close()
 		addr := strings.TrimPrefix(srv.URL, "http://")
@@ -66,38 +66,38 @@
 		is.NoErr(first.Renew(ctx))
 		oldFence, _ := first.Held()
 		fc.Advance(duty.TTL + time.Second)
-		newer := New(second, yes, tableFor(addr, "v2"), direct{e}, "fd-1", fc, quiet)
-		newer.Round(ctx)
+		current := New(second, always, tableFor(addr, "v2"), engineReports{e}, "fd-1", fc, discardLog)
+		current.Round(ctx)
 		is.Equal(e.State().Loaded, "m@v2")
 
-		New(late{first, oldFence}, yes, tableFor(addr, "v1"), direct{e}, "fd-1", fc, quiet).Round(ctx)
-		is.Equal(e.State().Loaded == "m@v1", ignores)
-		is.Equal(e.State().Stale == 1, !ignores)
+		New(staleHolder{first, oldFence}, always, tableFor(addr, "v1"), engineReports{e}, "fd-1", fc, discardLog).Round(ctx)
+		is.Equal(e.State().Loaded == "m@v1", ignoresFencing)
+		is.Equal(e.State().Stale == 1, !ignoresFencing)
 
 		fc.Advance(duty.TTL / 3)
-		newer.Round(ctx)
-		fc.Advance(again)
-		newer.Round(ctx) // renews, or takes the duty again
-		newer.Round(ctx)
+		current.Round(ctx)
+		fc.Advance(reorderDelay)
+		current.Round(ctx) // renews or reacquires the duty
+		current.Round(ctx)
 		is.Equal(e.State().Loaded, "m@v2")
 	}
 }
 
-// TestPausedHolderSendsNothing: the same pause where nothing was under way:
-// by its own clock the old holder no longer holds the duty.
+// TestPausedHolderSendsNothing covers the same pause with no order under way: by its
+// own clock the old holder no longer holds the duty, so it must send nothing.
 func TestPausedHolderSendsNothing(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	fc := clockwork.NewFakeClock()
 	store := memkv.New(fc)
-	e := engine.New(engine.Settings{Model: "m", Version: "v2"}, quiet)
+	e := engine.New(engine.Settings{Model: "m", Version: "v2"}, discardLog)
 	srv := httptest.NewServer(e.Handler())
 	defer srv.Close()
 	first, second := duty.New(store, "orders/fd-1", "a", fc), duty.New(store, "orders/fd-1", "b", fc)
 	is.NoErr(first.Renew(ctx))
 	fc.Advance(duty.TTL + time.Second)
 	is.NoErr(second.Renew(ctx))
-	New(first, yes, tableFor(strings.TrimPrefix(srv.URL, "http://"), "v1"), direct{e}, "fd-1", fc, quiet).Round(ctx)
+	New(first, always, tableFor(strings.TrimPrefix(srv.URL, "http://"), "v1"), engineReports{e}, "fd-1", fc, discardLog).Round(ctx)
 	is.Equal(e.State().Loaded, "m@v2")
-	is.Equal(e.State().Fence, int64(0)) // no order came
+	is.Equal(e.State().Fence, int64(0)) // no order arrived
 }
