--- a/rater/doc.go
+++ b/rater/doc.go
@@ -1,4 +1,4 @@
-// Package rater is the port to the platform's service that rates answers:
-// a score from 0 (useless) to 1 (good) for one answer. The rater may be slow
-// or away; who asks says what happens then.
+// Package rater is the client interface to the platform service that rates answers.
+// A rating is a score from 0 (useless) to 1 (good) for one answer. The service may be
+// slow or unavailable; the caller decides how to proceed then.
 package rater
--- a/rater/rater.go
+++ b/rater/rater.go
@@ -11,13 +11,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Path is where the service takes answers (POST, Answer as JSON).
+// Path is the URL path for rating requests (POST, Answer as JSON).
 const Path = "/v1/rate"
 
-// Wait bounds one rating.
-const Wait = 500 * time.Millisecond
+// Timeout bounds one rating call.
+const Timeout = 500 * time.Millisecond
 
-// Answer is what is rated.
+// Answer is the request body: the answer to rate and the prompt it belongs to.
 type Answer struct {
 	RequestID string `json:"request_id"`
 	Model     string `json:"model"`
@@ -26,7 +26,7 @@
 	Text      string `json:"text"`
 }
 
-// Score is the service's answer.
+// Score is the response body.
 type Score struct {
 	Score float64 `json:"score"`
 }
@@ -42,7 +42,7 @@
 	hc   *http.Client
 }
 
-// NewClient returns a client of the service at baseURL.
+// NewClient returns a client for the service at baseURL.
 func NewClient(baseURL string) *Client {
 	return &Client{base: strings.TrimSuffix(baseURL, "/"),
 		hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}}}
@@ -50,7 +50,7 @@
 
 // Rate implements Rater.
 func (c *Client) Rate(ctx context.Context, a Answer) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, Wait)
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	b, err := json.Marshal(a)
 	if err != nil {
