--- a/scripts/bench-config.sh
+++ b/scripts/bench-config.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Measures, on real processes, an entry's resident memory before and after
-# taking a target-size configuration (3,600 back ends, 2,000 customers), and
-# the time from `lovagectl apply` starting to both entries having it in force.
+# loading a target-size configuration (3,600 back ends, 2,000 customers), and
+# the time from the start of `lovagectl apply` until both entries use it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh
--- a/scripts/bench-domain.sh
+++ b/scripts/bench-domain.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# A failure domain of the target under its share of the peak: N entries with
-# the target configuration, 11.5 requests a second each, 260 tokens an answer
-# at 34 ms. Prints processor time and memory per entry, the busiest apart (it
-# writes the domain's bills). Usage: bench-domain.sh N [seconds]
+# Measures one failure domain of the target size under its share of the peak
+# load: N entries with the target configuration, 11.5 requests per second each,
+# 260 tokens per answer at 34 ms per token. Prints CPU use and memory per entry,
+# and the CPU use of the busiest one, which writes the domain's billing records.
+# Usage: bench-domain.sh N [seconds]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 n=${1:-8}; secs=${2:-20}
@@ -13,7 +14,7 @@
 rate=$(awk -v n="$n" 'BEGIN {print 11.5*n}')
 bin/lovagectl load "${DOMAIN_ARGS[@]}" --rate "$rate" --duration "$((secs+14))s" --max 100000 --tokens 260 \
   --mix "$key:model-00:1" --mix "$key:model-01:1" --mix "$key:model-02:1" > "$LOGS/load.txt" & lp=$!
-sleep 12 # until requests in flight have reached their level
+sleep 12 # until the number of requests in flight is steady
 ticks > "$LOGS/t0"; c0=$(kv_calls); sleep "$secs"; ticks > "$LOGS/t1"; c1=$(kv_calls)
 rss=$(largest_rss)
 inflight=$(curl -s http://127.0.0.1:18101/debug/state | awk -F: "/\"in_flight\"/ {print \$2+0; exit}" || true)
--- a/scripts/bench-edge.sh
+++ b/scripts/bench-edge.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Control of entries on the platform at size, without requests: N entries of
-# one fleet over a store that holds ENDPOINTS registrations and CUSTOMERS
-# customers; after a start-up second, SECONDS are measured, with CHANGES
-# configurations written meanwhile. Prints, an entry: processor share, largest
-# memory, loopback bytes a second (both ends, so an upper bound).
+# Measures the control-plane cost of entries on the platform, without requests: N
+# entries of one fleet and a store that holds ENDPOINTS registrations and
+# CUSTOMERS customers. After 4 s of start-up it measures for SECONDS, while
+# CHANGES configurations are written. Prints per entry: CPU share, peak memory
+# of the largest, loopback bytes per second (both ends, so an upper bound).
 # Usage: scripts/bench-edge.sh N SECONDS CHANGES [ENDPOINTS] [CUSTOMERS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/bench-exposure.sh
+++ b/scripts/bench-exposure.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Exposure to a bad version on the Ondol example: 8 entries, draft-small v2 at
-# 10 of 100, guarded. Mid-run the rater begins to find v2's answers useless.
-# Prints how many requests v2 was given from then until it got no more, and
-# the share of all requests of that time. Usage: bench-exposure.sh [rate] [runs]
+# Measures the exposure to a bad version on the Ondol example: 8 entries,
+# draft-small v2 at weight 10 of 100, guarded. During each run the rater starts
+# to rate v2's answers as useless. Prints how many requests v2 served from then
+# until all entries halted it, and their share of all requests in that time.
+# Usage: bench-exposure.sh [rate] [runs]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh; . scripts/site.sh
 rate=${1:-50}; runs=${2:-3}
 SKILL='{"draft-small":0.9}' start_site ondol 2ms >/dev/null
-served() { # requests run by draft-small $1
+served() { # requests served by draft-small, version $1
   local n=0 p
   for p in $(grep "draft-small, version: $1" examples/ondol/30-backends.yaml | grep -oE '127.0.0.1:[0-9]+'); do
     n=$((n + $(curl -s "http://$p/debug/state" | grep -oE '"served":[0-9]+' | cut -d: -f2)))
--- a/scripts/bench-latency.sh
+++ b/scripts/bench-latency.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Added latency of the entry: the same open-loop load straight at an engine
-# stand-in and through an entry. Usage: bench-latency.sh [rate] [seconds]
+# Measures the latency that an entry adds: sends the same open-loop load directly
+# to an engine stand-in and through an entry. Usage: bench-latency.sh [rate] [seconds]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh
--- a/scripts/bench-memory.sh
+++ b/scripts/bench-memory.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Entry resident memory with the target-size configuration and about 100
-# requests in flight per entry (the per-node share at target: 11.5 req/s
-# times ~9 s per 260-token answer), plus the CLI's time to apply the
-# target-size folder. Usage: bench-memory.sh [rate] [tokens] [step]
+# Measures an entry's resident memory with the target-size configuration and
+# about 100 requests in flight per entry (the per-node share at the target:
+# 11.5 req/s times ~9 s per 260-token answer), and the time the CLI takes to
+# apply the target-size folder. Usage: bench-memory.sh [rate] [tokens] [step]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh
@@ -11,7 +11,7 @@
 rss() { awk '/VmRSS/ {print $2}' /proc/"$1"/status; }
 a=${pids[5]}; b=${pids[6]}
 dir=$(mktemp -d); bin/lovagectl synth "$dir"
-# The synthetic back ends are not running; keep the demo ones so load is served.
+# The synthetic back ends do not run; the demo ones are added to serve the load.
 cp examples/demo/30-backends.yaml "$dir/40-demo-backends.yaml"; cp examples/demo/10-models.yaml "$dir/35-demo-models.yaml"
 cp examples/demo/20-customers.yaml "$dir/36-demo-customers.yaml"
 s=$(date +%s%N); bin/lovagectl apply "$dir" --kv $KV; e=$(date +%s%N)
--- a/scripts/bench-node.sh
+++ b/scripts/bench-node.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# What control costs a node: N entries of one failure domain with a
-# configuration of the target size (3,600 back ends, 2,000 customers) and the
-# domain's 277 engines, no requests. Prints, per entry, processor time,
-# memory, bytes sent and received (an upper bound: everything on loopback,
-# both ends), and the KV's calls. Usage: bench-node.sh N [seconds] [changes]
+# Measures the control-plane cost per node: N entries of one failure domain
+# with a configuration of the target size (3,600 back ends, 2,000 customers) and
+# the domain's 277 engines, without requests. Prints, per entry, CPU use, memory,
+# bytes sent and received (an upper bound: all loopback traffic, both ends), and
+# KV calls. Usage: bench-node.sh N [seconds] [changes]
 # changes: configuration changes made during the measurement.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 n=${1:-8}; secs=${2:-20}; changes=${3:-0}
 . scripts/lib.sh; . scripts/domain.sh
 start_domain "$n" 5ms
-sleep 24 # past the first rounds of gossip, which carry more
+sleep 24 # until after the first gossip rounds, whose digests are larger
 sum_ticks() { ticks | awk '{s+=$1} END {print s}'; }
 lo() { awk '/lo:/ {print $10}' /proc/net/dev; }
 t0=$(sum_ticks); b0=$(lo); c0=$(kv_calls)
--- a/scripts/bench-overload.sh
+++ b/scripts/bench-overload.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# A pool out of capacity on the Ondol example: two customers, one of the
-# highest priority and one of the lowest, ask draft-large for more than its
-# engines hold. Prints what each got, with shedding by priority (capacity in
-# the configuration) and without. Usage: bench-overload.sh [rate each] [seconds]
+# Overloads a pool of the Ondol example: two customers, one of the highest
+# priority and one of the lowest, send draft-large more requests than its engines
+# have capacity for. Prints the outcomes of each, without and with shedding by
+# priority (which needs the capacity in the configuration).
+# Usage: bench-overload.sh [rate each] [seconds]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh; . scripts/site.sh
--- a/scripts/bench-propagation.sh
+++ b/scripts/bench-propagation.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Time from `lovagectl apply` answering to the change being in force on all
-# eight entries of the Ondol example: KV healthy; watches gone silent; an
-# outage between (from its end). Also KV calls, idle. Usage: bench-propagation.sh [runs]
+# Measures the time from `lovagectl apply` returning until the change is in force
+# on all eight entries of the Ondol example: with a healthy KV, with watches that
+# deliver nothing, and for a change applied as a 10 s KV outage ends. Also counts
+# the KV calls of idle entries. Usage: bench-propagation.sh [runs]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh; . scripts/site.sh
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The main job on the embedded default: builds both binaries, starts the
-# stand-ins and two entry instances in two failure domains on loopback,
-# applies examples/demo, sends streamed and whole requests (one refused for a
-# disallowed model), prints them, and stops everything.
+# Demonstrates the main use with the built-in stand-ins: builds both binaries,
+# starts the stand-ins and two entry instances in two failure domains on
+# loopback, applies examples/demo, sends streamed and unstreamed requests (one
+# refused for a disallowed model), prints the answers, and stops everything.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/lib.sh
--- a/scripts/domain.sh
+++ b/scripts/domain.sh
@@ -1,8 +1,8 @@
-# Shared by bench-node.sh and bench-domain.sh: N entries of failure domain
+# Shared by bench-node.sh and bench-domain.sh: runs N entries of failure domain
 # fd-00 with a configuration of the target size (3,600 back ends, 2,000
 # customers), and the domain's 277 engines. Sourced after lib.sh.
-# start_domain N ENGINE_STEP sets entries (process ids), DOMAIN_ARGS (--entry
-# URL each) and dir (the configuration folder).
+# start_domain N ENGINE_STEP sets entries (process ids), DOMAIN_ARGS (--entry URL
+# for each entry) and dir (the configuration folder).
 start_domain() {
   local n=$1 step=$2 i
   go build -o bin/ ./cmd/...
@@ -27,7 +27,7 @@
   for i in $(seq 1 "$n"); do wait_ok "http://127.0.0.1:$((18100+i))/readyz"; done
 }
 
-# largest_rss prints the entries' largest resident memory, in kB.
+# largest_rss prints the resident memory of the largest entry, in kB.
 largest_rss() { for p in "${entries[@]}"; do awk '/VmRSS/ {print $2}' /proc/"$p"/status; done | sort -n | tail -1; }
-# ticks prints each entry's processor time so far, in clock ticks.
+# ticks prints each entry's CPU time so far, in clock ticks.
 ticks() { for p in "${entries[@]}"; do awk '{print $14+$15}' /proc/"$p"/stat; done; }
--- a/scripts/regress.sh
+++ b/scripts/regress.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Regression runs before a landing, on the users' kit: hunts on all sites, then scores of the
-# large and grown ones, one site a call. Prints what each came to; the whole output goes to OUT.
+# Regression runs before a merge, with the users' benchmark kit: `hunt` on all sites, `score` on
+# the grown and large ones and bedline-tas, one site per call. Prints a result line for each; the
+# full logs go to OUT. Runs hunt only by default.
 #   KIT=DIR BENCH=PROGRAM [JOBS=6] [OUT=DIR] scripts/regress.sh [hunt] [score]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/site.sh
+++ b/scripts/site.sh
@@ -1,6 +1,6 @@
-# Shared by scripts that run a whole deployment of the brief: eight entries in
-# four failure domains, every back end of an example folder, KV, rater and
-# instance list. Sourced after lib.sh. start_site NAME [engine step]
+# Shared by scripts that run a full deployment: eight entries in four failure
+# domains, every back end of an example folder, KV, rater and instance list.
+# Sourced after lib.sh. start_site NAME [engine step]
 RATER=http://127.0.0.1:12400
 LIST=http://127.0.0.1:12401
 SITE_ENTRIES=()
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The whole test suite. Tests listed in KNOWN-RED.txt (one line each:
-# "TestName | cause | issue") are skipped and printed, never hidden.
+# Runs the whole test suite. Tests listed in KNOWN-RED.txt (one per line:
+# "TestName | cause | command | issue") are skipped, and the list is always printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 skip=""
