--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -5,17 +5,17 @@
 	"net/http"
 )
 
-// State serves what get returns as JSON.
+// State serves the result of get as JSON on GET /debug/state.
 func State(mux *http.ServeMux, get func() any) {
 	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, get()) })
 }
 
-// Switches takes a T as JSON and hands it to set.
+// Switches decodes the JSON body of PUT /fault into a T and passes it to set.
 func Switches[T any](mux *http.ServeMux, set func(T)) {
 	Put(mux, "/fault", set)
 }
 
-// Put takes a T as JSON at path and hands it to set.
+// Put decodes the JSON body of PUT path into a T and passes it to set.
 func Put[T any](mux *http.ServeMux, path string, set func(T)) {
 	mux.HandleFunc("PUT "+path, func(w http.ResponseWriter, r *http.Request) {
 		var v T
@@ -28,8 +28,8 @@
 	})
 }
 
-// WriteJSON answers with v.
+// WriteJSON writes v as a JSON response body.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/control/doc.go
+++ b/standin/control/doc.go
@@ -1,3 +1,3 @@
-// Package control is what every stand-in offers operators and tests: its
-// state as JSON (GET /debug/state) and its switches (PUT /fault).
+// Package control registers the HTTP handlers that the stand-ins share: state
+// as JSON (GET /debug/state) and fault injection (PUT /fault).
 package control
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -5,56 +5,57 @@
 	"hash/fnv"
 )
 
-// blockBytes is the size of a cached piece of prompt.
+// blockBytes is the size of a cached prompt block.
 const blockBytes = 256
 
-// prefixCache is a bounded cache of prompt prefixes, least recently used
-// out first: a prompt's block hits only if every block before it does.
+// prefixCache is a bounded LRU cache of prompt prefixes. A block of a prompt
+// hits only if every block before it does.
 type prefixCache struct {
-	limit  int
-	blocks map[uint64]*list.Element
-	order  *list.List // of uint64, most recent first
-	hit    int64      // bytes
-	missed int64
+	limit       int
+	blocks      map[uint64]*list.Element
+	recency     *list.List // of uint64, most recent first
+	hitBytes    int64
+	missedBytes int64
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, order: list.New()}
+	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, recency: list.New()}
 }
 
-// read takes a prompt through the cache and returns the bytes not cached.
-func (c *prefixCache) read(prompt string) (missed int) {
+// access looks up the blocks of a prompt, inserts the missing ones and returns
+// the number of bytes that were not cached.
+func (c *prefixCache) access(prompt string) (missedBytes int) {
 	h := fnv.New64a()
-	hitting := true
+	prefixHit := true
 	for i := 0; i < len(prompt); i += blockBytes {
 		block := prompt[i:min(i+blockBytes, len(prompt))]
-		_, _ = h.Write([]byte(block)) // the hash covers all blocks so far
+		_, _ = h.Write([]byte(block)) // the hash covers the whole prefix
 		el, ok := c.blocks[h.Sum64()]
 		if ok {
-			c.order.MoveToFront(el)
+			c.recency.MoveToFront(el)
 		} else {
-			c.add(h.Sum64())
+			c.insert(h.Sum64())
 		}
-		if hitting = hitting && ok; !hitting {
-			missed += len(block)
+		if prefixHit = prefixHit && ok; !prefixHit {
+			missedBytes += len(block)
 		}
 	}
-	c.missed += int64(missed)
-	c.hit += int64(len(prompt) - missed)
-	return missed
+	c.missedBytes += int64(missedBytes)
+	c.hitBytes += int64(len(prompt) - missedBytes)
+	return missedBytes
 }
 
-func (c *prefixCache) add(sum uint64) {
-	c.blocks[sum] = c.order.PushFront(sum)
-	if c.order.Len() <= c.limit {
+func (c *prefixCache) insert(hash uint64) {
+	c.blocks[hash] = c.recency.PushFront(hash)
+	if c.recency.Len() <= c.limit {
 		return
 	}
-	oldest := c.order.Back()
-	c.order.Remove(oldest)
+	oldest := c.recency.Back()
+	c.recency.Remove(oldest)
 	delete(c.blocks, oldest.Value.(uint64))
 }
 
-// CacheState is the prefix cache in the state dump.
+// CacheState describes the prefix cache in the state dump.
 type CacheState struct {
 	Blocks      int   `json:"blocks"`
 	HitBytes    int64 `json:"hit_bytes"`
@@ -62,5 +63,5 @@
 }
 
 func (c *prefixCache) state() CacheState {
-	return CacheState{Blocks: len(c.blocks), HitBytes: c.hit, MissedBytes: c.missed}
+	return CacheState{Blocks: len(c.blocks), HitBytes: c.hitBytes, MissedBytes: c.missedBytes}
 }
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,10 +1,11 @@
-// Package engine is the stand-in for a model engine: it serves one model
-// version over the OpenAI-style chat API, streams one token per step,
-// runs concurrent requests up to a capacity, keeps a bounded prefix cache,
-// reports its load with a lag, takes orders with a fencing number, and has
-// fault switches (silence, cuts, failures, another version's answers).
+// Package engine simulates a model engine. It serves one model version over
+// the OpenAI-style chat API, streams one token per step, runs concurrent
+// requests up to a capacity, keeps a bounded prefix cache, reports its load
+// with a lag and accepts orders that carry a fencing number. Injectable faults
+// are hanging requests, broken connections, failures and responses in the name
+// of another version.
 //
-// Its answers are deterministic: token i of a request is "<prefix>-<i>"
-// where prefix comes from the request id, so a test can check that an
-// answer is whole, in order, and the caller's own.
+// Responses are deterministic: token i of a request is "<request id>-<i> ", so
+// a test can check that a response is complete, in order, and belongs to its
+// request.
 package engine
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -14,84 +14,84 @@
 	"github.com/lovageweir/lovageweir/standin/control"
 )
 
-// Settings configure one engine stand-in.
+// Settings configure an Engine.
 type Settings struct {
 	Model    string
 	Version  string
 	Step     time.Duration // time per generated token
-	Capacity int           // concurrent requests before refusing
-	// DefaultTokens is the answer length when a request gives no max_tokens.
+	Capacity int           // concurrent requests; more are refused
+	// DefaultTokens is the response length of a request without max_tokens.
 	DefaultTokens int
-	// PrefillPerKB is the time to read a kilobyte of prompt that is not in
+	// PrefillPerKB is the time to process a kilobyte of prompt that is not in
 	// the prefix cache, which holds CacheBlocks blocks.
 	PrefillPerKB time.Duration
 	CacheBlocks  int
-	// ReportLag is how old a load report is.
+	// ReportLag is the age of the reported load.
 	ReportLag time.Duration
-	// LoadTime is how long loading a version takes; Weights, when set, is the
-	// weight store asked first.
+	// LoadTime is how long loading a version takes. Weights, if set, is the URL
+	// of the weight store that a version is fetched from first.
 	LoadTime time.Duration
 	Weights  string
-	// IgnoreFencing makes the engine obey orders with an old fencing number,
-	// as some do.
+	// IgnoreFencing makes the engine obey orders with an old fencing number, as
+	// some real engines do.
 	IgnoreFencing bool
 }
 
-// Faults are the run-time switches.
+// Faults are the faults that can be injected at run time.
 type Faults struct {
-	// Silent accepts requests and never answers, as a connection that an
-	// intermediate box forgot would.
+	// Silent accepts requests and never responds, like a connection whose state
+	// a middlebox has dropped.
 	Silent bool `json:"silent"`
-	// SilentAfter goes silent after this many tokens; CutAfter breaks the
-	// connection after them. Zero: neither.
+	// SilentAfter stops sending after this many tokens and keeps the connection
+	// open; CutAfter closes the connection after this many. Zero disables them.
 	SilentAfter int `json:"silent_after"`
 	CutAfter    int `json:"cut_after"`
-	// FailEvery makes every n-th request fail with a 500.
+	// FailEvery fails every n-th request with status 500. Zero disables it.
 	FailEvery int `json:"fail_every"`
-	// WrongVersion answers in the name of another version.
+	// WrongVersion names another version in responses.
 	WrongVersion bool `json:"wrong_version"`
 }
 
-// Engine is one stand-in engine.
+// Engine simulates a model engine.
 type Engine struct {
-	set Settings
-	log *slog.Logger
+	settings Settings
+	log      *slog.Logger
 
-	mu       sync.Mutex
-	faults   Faults
-	loaded   string // model@version; empty while loading
-	draining bool
-	fence    int64 // the highest fencing number obeyed
-	stale    int64 // orders refused for an old number
-	inFlight int
-	served   int64
-	refused  int64
-	byModel  map[string]int64 // requests run, by model@version
-	cache    *prefixCache
-	history  []past // recent loads, for the lagging report
+	mu              sync.Mutex
+	faults          Faults
+	loaded          string // model@version; empty while loading
+	draining        bool
+	fence           int64 // highest fencing number accepted
+	staleOrders     int64 // orders refused for an old fencing number
+	inFlight        int
+	served          int64
+	refused         int64
+	requestsByModel map[string]int64 // requests run, by model@version
+	cache           *prefixCache
+	history         []loadSample // recent loads, oldest first, for the lagged report
 }
 
-type past struct {
+type loadSample struct {
 	at   time.Time
 	load openai.LoadReport
 }
 
-// New returns an engine.
-func New(set Settings, log *slog.Logger) *Engine {
-	if set.Capacity <= 0 {
-		set.Capacity = 8
+// New returns an engine that has loaded the version in its settings.
+func New(settings Settings, log *slog.Logger) *Engine {
+	if settings.Capacity <= 0 {
+		settings.Capacity = 8
 	}
-	if set.DefaultTokens <= 0 {
-		set.DefaultTokens = 16
+	if settings.DefaultTokens <= 0 {
+		settings.DefaultTokens = 16
 	}
-	if set.CacheBlocks <= 0 {
-		set.CacheBlocks = 1024
+	if settings.CacheBlocks <= 0 {
+		settings.CacheBlocks = 1024
 	}
-	return &Engine{set: set, log: log, loaded: set.Model + "@" + set.Version, byModel: map[string]int64{}, cache: newPrefixCache(set.CacheBlocks)}
+	return &Engine{settings: settings, log: log, loaded: settings.Model + "@" + settings.Version, requestsByModel: map[string]int64{}, cache: newPrefixCache(settings.CacheBlocks)}
 }
 
-// Token returns token i of the answer to request id: what the stand-in
-// streams, and what tests expect.
+// Token returns token i of the response to a request. Tests compare what callers
+// receive with it.
 func Token(requestID string, i int) string {
 	return fmt.Sprintf("%s-%d ", requestID, i)
 }
@@ -109,9 +109,9 @@
 	Faults  Faults           `json:"faults"`
 }
 
-func (e *Engine) reportLocked() openai.LoadReport {
+func (e *Engine) currentLoadLocked() openai.LoadReport {
 	model, version, _ := strings.Cut(e.loaded, "@")
-	return openai.LoadReport{Model: model, Version: version, InFlight: e.inFlight, Capacity: e.set.Capacity, Draining: e.draining}
+	return openai.LoadReport{Model: model, Version: version, InFlight: e.inFlight, Capacity: e.settings.Capacity, Draining: e.draining}
 }
 
 // State returns the current dump.
@@ -119,27 +119,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ran := map[string]int64{}
-	for k, v := range e.byModel {
+	for k, v := range e.requestsByModel {
 		ran[k] = v
 	}
-	return State{LoadReport: e.reportLocked(), Loaded: e.loaded, Fence: e.fence, Stale: e.stale, Served: e.served, Refused: e.refused,
+	return State{LoadReport: e.currentLoadLocked(), Loaded: e.loaded, Fence: e.fence, Stale: e.staleOrders, Served: e.served, Refused: e.refused,
 		Ran: ran, Cache: e.cache.state(), Faults: e.faults}
 }
 
-// report returns the load as it was ReportLag ago.
-func (e *Engine) report(now time.Time) openai.LoadReport {
+// laggedLoad records the current load and returns the load of ReportLag ago.
+func (e *Engine) laggedLoad(now time.Time) openai.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.history = append(e.history, past{now, e.reportLocked()})
+	e.history = append(e.history, loadSample{now, e.currentLoadLocked()})
 	out := e.history[0].load
-	for len(e.history) > 1 && now.Sub(e.history[1].at) >= e.set.ReportLag {
+	for len(e.history) > 1 && now.Sub(e.history[1].at) >= e.settings.ReportLag {
 		e.history = e.history[1:]
 		out = e.history[0].load
 	}
 	return out
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	e.faults = f
@@ -150,16 +150,17 @@
 // PUT /fault.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.chat)
-	mux.HandleFunc("GET "+openai.PathLoad, func(w http.ResponseWriter, _ *http.Request) { control.WriteJSON(w, e.report(time.Now())) })
-	mux.HandleFunc("POST "+openai.PathOrders, e.order)
+	mux.HandleFunc("POST /v1/chat/completions", e.handleChat)
+	mux.HandleFunc("GET "+openai.PathLoad, func(w http.ResponseWriter, _ *http.Request) { control.WriteJSON(w, e.laggedLoad(time.Now())) })
+	mux.HandleFunc("POST "+openai.PathOrders, e.handleOrder)
 	control.State(mux, func() any { return e.State() })
 	control.Switches(mux, e.SetFaults)
 	return mux
 }
 
-// admit takes a request in, or says why not. Nothing has run when it refuses.
-func (e *Engine) admit(model string) (n int64, f Faults, status int, why string) {
+// admit accepts a request and returns its sequence number, or returns the
+// status and reason of a refusal. A refused request has not run.
+func (e *Engine) admit(model string) (n int64, f Faults, status int, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -169,30 +170,30 @@
 	case model != e.loaded:
 		e.refused++
 		return 0, e.faults, http.StatusNotFound, "engine has loaded " + e.loaded
-	case e.inFlight >= e.set.Capacity:
+	case e.inFlight >= e.settings.Capacity:
 		e.refused++
 		return 0, e.faults, http.StatusTooManyRequests, "engine at capacity"
 	}
 	e.inFlight++
 	e.served++
-	e.byModel[e.loaded]++
+	e.requestsByModel[e.loaded]++
 	return e.served, e.faults, 0, ""
 }
 
-func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) {
 	var req openai.ChatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	n, f, status, why := e.admit(req.Model)
+	n, f, status, reason := e.admit(req.Model)
 	if status != 0 {
 		if status == http.StatusServiceUnavailable {
 			w.Header().Set(openai.HeaderDraining, "true")
 		}
 		w.Header().Set("Retry-After", "1")
-		http.Error(w, why, status)
+		http.Error(w, reason, status)
 		return
 	}
 	defer func() {
@@ -208,24 +209,25 @@
 		http.Error(w, "engine failed", http.StatusInternalServerError)
 		return
 	}
-	if !wait(r, e.prefill(req)) {
+	if !wait(r, e.prefillTime(req)) {
 		return
 	}
-	e.answer(w, r, req, f)
+	e.respond(w, r, req, f)
 }
 
-// prefill is the time to read what of the prompt is not cached.
-func (e *Engine) prefill(req openai.ChatRequest) time.Duration {
+// prefillTime returns the time to process the part of the prompt that is not cached.
+func (e *Engine) prefillTime(req openai.ChatRequest) time.Duration {
 	prompt := ""
 	for _, m := range req.Messages {
 		prompt += m.Content
 	}
 	e.mu.Lock()
-	missed := e.cache.read(prompt)
+	missedBytes := e.cache.access(prompt)
 	e.mu.Unlock()
-	return time.Duration(float64(missed) / 1024 * float64(e.set.PrefillPerKB))
+	return time.Duration(float64(missedBytes) / 1024 * float64(e.settings.PrefillPerKB))
 }
 
+// wait returns false if the request is cancelled before d has passed.
 func wait(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -240,34 +242,34 @@
 	}
 }
 
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, req openai.ChatRequest, f Faults) {
+func (e *Engine) respond(w http.ResponseWriter, r *http.Request, req openai.ChatRequest, f Faults) {
 	id := r.Header.Get(openai.HeaderRequestID)
 	if id == "" {
 		id = "anon"
 	}
 	n := req.MaxTokens
 	if n <= 0 {
-		n = e.set.DefaultTokens
+		n = e.settings.DefaultTokens
 	}
 	model := req.Model
 	if f.WrongVersion {
 		model += "-other"
 	}
 	if req.Stream {
-		e.stream(w, r, id, model, n, f)
+		e.writeStream(w, r, id, model, n, f)
 	} else {
-		e.whole(w, r, id, model, n)
+		e.writeResponse(w, r, id, model, n)
 	}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id, model string, n int, f Faults) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, id, model string, n int, f Faults) {
 	flusher, _ := w.(http.Flusher)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
 	enc := json.NewEncoder(w)
 	for i := 0; i < n; i++ {
-		if !wait(r, e.set.Step) {
+		if !wait(r, e.settings.Step) {
 			return
 		}
 		if f.SilentAfter > 0 && i >= f.SilentAfter {
@@ -285,7 +287,7 @@
 			ch.Usage = &openai.Usage{CompletionTokens: n, TotalTokens: n}
 		}
 		_, _ = w.Write([]byte("data: "))
-		_ = enc.Encode(ch) // Encode ends the line
+		_ = enc.Encode(ch) // Encode appends a newline
 		_, _ = w.Write([]byte("\n"))
 		if flusher != nil {
 			flusher.Flush()
@@ -297,10 +299,10 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, id, model string, n int) {
+func (e *Engine) writeResponse(w http.ResponseWriter, r *http.Request, id, model string, n int) {
 	text := ""
 	for i := 0; i < n; i++ {
-		if !wait(r, e.set.Step) {
+		if !wait(r, e.settings.Step) {
 			return
 		}
 		text += Token(id, i)
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -9,15 +9,15 @@
 	"github.com/lovageweir/lovageweir/openai"
 )
 
-// order obeys an order unless its fencing number is older than one obeyed
-// before, which means that its sender has lost the lease it acted under.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder executes an order unless its fencing number is lower than one
+// accepted before, which means that its sender has lost the lease it acted under.
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o openai.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !e.fenced(o.Fence) {
+	if !e.acceptFence(o.Fence) {
 		http.Error(w, "fencing number is old", http.StatusConflict)
 		return
 	}
@@ -39,11 +39,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) fenced(n int64) bool {
+// acceptFence reports whether an order with fencing number n may be executed.
+func (e *Engine) acceptFence(n int64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if n < e.fence && !e.set.IgnoreFencing {
-		e.stale++
+	if n < e.fence && !e.settings.IgnoreFencing {
+		e.staleOrders++
 		return false
 	}
 	e.fence = max(e.fence, n)
@@ -51,10 +52,10 @@
 }
 
 func (e *Engine) fetchWeights(r *http.Request, o openai.Order) bool {
-	if e.set.Weights == "" {
+	if e.settings.Weights == "" {
 		return true
 	}
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, strings.TrimSuffix(e.set.Weights, "/")+"/weights/"+o.Model+"/"+o.Version, nil)
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, strings.TrimSuffix(e.settings.Weights, "/")+"/weights/"+o.Model+"/"+o.Version, nil)
 	if err != nil {
 		return false
 	}
@@ -66,20 +67,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// load replaces what is loaded; until it is done the engine refuses all.
-// Requests in flight finish on what they began with.
-func (e *Engine) load(name string) {
-	done := func() {
+// load replaces the loaded version; the engine refuses all requests until it is
+// loaded. Requests in flight finish on the version they began with.
+func (e *Engine) load(modelVersion string) {
+	complete := func() {
 		e.mu.Lock()
-		e.loaded, e.cache = name, newPrefixCache(e.set.CacheBlocks)
+		e.loaded, e.cache = modelVersion, newPrefixCache(e.settings.CacheBlocks)
 		e.mu.Unlock()
 	}
-	if e.set.LoadTime <= 0 {
-		done()
+	if e.settings.LoadTime <= 0 {
+		complete()
 		return
 	}
 	e.mu.Lock()
 	e.loaded = ""
 	e.mu.Unlock()
-	time.AfterFunc(e.set.LoadTime, done)
+	time.AfterFunc(e.settings.LoadTime, complete)
 }
--- a/standin/instances/doc.go
+++ b/standin/instances/doc.go
@@ -1,3 +1,3 @@
-// Package instances is the stand-in for the platform's list of instances,
-// live and leaving. It lags: a change is served only Lag later.
+// Package instances simulates the platform's list of live and leaving
+// instances. A change is served only after a configured lag.
 package instances
--- a/standin/kvserver/server.go
+++ b/standin/kvserver/server.go
@@ -17,32 +17,31 @@
 	"github.com/lovageweir/lovageweir/standin/control"
 )
 
-// Faults are the switches of the stand-in. The zero value is a healthy
-// service.
+// Faults are the injected faults. The zero value is a healthy service.
 type Faults struct {
-	// Down refuses every call as unavailable.
+	// Down fails every call as unavailable.
 	Down bool `json:"down"`
 	// SlowMillis delays every call by this many milliseconds.
 	SlowMillis int `json:"slow_ms"`
-	// DropAcks applies writes and then answers unavailable, as when the
-	// answer is lost on the way back.
+	// DropAcks applies writes and then responds with unavailable, as if the
+	// response had been lost.
 	DropAcks bool `json:"drop_acks"`
-	// StallWatches accepts watches and delivers nothing, as a connection
-	// that went silent would.
+	// StallWatches accepts watches and delivers no events, like a connection
+	// that has gone silent.
 	StallWatches bool `json:"stall_watches"`
-	// Compact forgets the watch history once, when it is set.
+	// Compact discards the watch history once, at the time it is set.
 	Compact bool `json:"compact"`
 }
 
-// Server serves the subset of the etcd v3 API over a store.
+// Server serves a subset of the etcd v3 API over a memkv.Store.
 type Server struct {
 	store *memkv.Store
 
 	mu     sync.Mutex
 	faults Faults
 
-	calls  atomic.Int64
-	byCall sync.Map // string -> *atomic.Int64
+	calls       atomic.Int64
+	callsByPath sync.Map // string -> *atomic.Int64
 }
 
 // New returns a server over an empty store.
@@ -53,7 +52,7 @@
 // Store exposes the underlying store for tests.
 func (s *Server) Store() *memkv.Store { return s.store }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	if f.Compact {
 		s.store.Compact()
@@ -69,14 +68,14 @@
 	return s.faults
 }
 
-// errUnavailable is the stand-in's answer while it is down.
+// errUnavailable is returned to clients while the Down fault is set.
 var errUnavailable = errors.New("kv stand-in: unavailable")
 
-// enter counts a call and applies the faults that come before it.
-func (s *Server) enter(ctx context.Context, call string) (Faults, error) {
+// beginCall counts a call and applies the faults that precede its execution.
+func (s *Server) beginCall(ctx context.Context, path string) (Faults, error) {
 	s.calls.Add(1)
-	c, _ := s.byCall.LoadOrStore(call, new(atomic.Int64))
-	c.(*atomic.Int64).Add(1)
+	count, _ := s.callsByPath.LoadOrStore(path, new(atomic.Int64))
+	count.(*atomic.Int64).Add(1)
 	f := s.currentFaults()
 	if f.SlowMillis > 0 {
 		select {
@@ -91,35 +90,35 @@
 	return f, nil
 }
 
-// handle serves one unary call: decode Req, run it, drop the answer of a
-// write when that fault is on, and encode the answer.
+// handle registers a unary call: it decodes Req, runs the call and encodes the
+// response. With DropAcks set, a write gets an error in place of its response.
 func handle[Req any](s *Server, mux *http.ServeMux, path string, write bool, run func(context.Context, Req) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var req Req
 		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-			fail(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
+			writeError(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
 			return
 		}
-		f, err := s.enter(r.Context(), path)
+		f, err := s.beginCall(r.Context(), path)
 		if err != nil {
-			fail(w, http.StatusServiceUnavailable, api.CodeUnavailable, err)
+			writeError(w, http.StatusServiceUnavailable, api.CodeUnavailable, err)
 			return
 		}
 		out, err := run(r.Context(), req)
 		switch {
 		case errors.Is(err, kv.ErrLeaseNotFound):
-			fail(w, http.StatusNotFound, api.CodeNotFound, err)
+			writeError(w, http.StatusNotFound, api.CodeNotFound, err)
 		case err != nil:
-			fail(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
+			writeError(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
 		case write && f.DropAcks:
-			fail(w, http.StatusServiceUnavailable, api.CodeUnavailable, errors.New("kv stand-in: answer lost"))
+			writeError(w, http.StatusServiceUnavailable, api.CodeUnavailable, errors.New("kv stand-in: answer lost"))
 		default:
 			control.WriteJSON(w, out)
 		}
 	})
 }
 
-func fail(w http.ResponseWriter, status, code int, err error) {
+func writeError(w http.ResponseWriter, status, code int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(api.Error{Message: err.Error(), Code: code})
@@ -152,12 +151,12 @@
 	return api.DeleteRangeResponse{Header: header(rev)}, err
 }
 
-// errTxn names the one shape of transaction the stand-in knows.
-var errTxn = errors.New("kv stand-in: only one MOD EQUAL compare with one put or delete on the same key is served")
+// errUnsupportedTxn describes the only form of transaction that is supported.
+var errUnsupportedTxn = errors.New("kv stand-in: only one MOD EQUAL compare with one put or delete on the same key is supported")
 
 func (s *Server) txn(ctx context.Context, r api.TxnRequest) (any, error) {
 	if len(r.Compare) != 1 || len(r.Success) != 1 || r.Compare[0].Target != api.TargetMod || r.Compare[0].Result != api.ResultEqual {
-		return nil, errTxn
+		return nil, errUnsupportedTxn
 	}
 	key, expect := string(r.Compare[0].Key), kv.Revision(r.Compare[0].ModRevision)
 	var ok bool
@@ -169,7 +168,7 @@
 	case op.Delete != nil && string(op.Delete.Key) == key:
 		ok, err = s.store.CompareAndDelete(ctx, key, expect)
 	default:
-		return nil, errTxn
+		return nil, errUnsupportedTxn
 	}
 	if err != nil {
 		return nil, err
@@ -195,7 +194,7 @@
 	if err != nil && !errors.Is(err, kv.ErrLeaseNotFound) {
 		return nil, err
 	}
-	// A lease that is gone is answered with TTL 0, as the API has it.
+	// As in etcd, the response for an expired or revoked lease has TTL 0.
 	return api.KeepAliveMessage{Result: api.KeepAliveResponse{ID: r.ID, TTL: int64(ttl / time.Second)}}, nil
 }
 
@@ -203,19 +202,20 @@
 	return struct{}{}, s.store.Revoke(ctx, kv.LeaseID(r.ID))
 }
 
-// maxWatchWait caps one watch so a stalled client frees its slot.
+// maxWatchWait bounds one wait for events; a watch waits again afterwards.
 const maxWatchWait = 60 * time.Second
 
-// watch streams a created message and then events until the client leaves.
+// watch streams a created message and then events until the client disconnects
+// or the start revision has been compacted.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	var req api.WatchRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		fail(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
+		writeError(w, http.StatusBadRequest, api.CodeInvalidArgument, err)
 		return
 	}
-	f, err := s.enter(r.Context(), api.PathWatch)
+	f, err := s.beginCall(r.Context(), api.PathWatch)
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, api.CodeUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, api.CodeUnavailable, err)
 		return
 	}
 	send := func(m api.WatchResponse) {
@@ -268,26 +268,25 @@
 	}
 }
 
-// State is the stand-in's state dump.
+// State is the state dump of a Server.
 type State struct {
-	Store  memkv.Stats      `json:"store"`
-	Faults Faults           `json:"faults"`
-	Calls  int64            `json:"calls"`
-	ByCall map[string]int64 `json:"calls_by_path"`
+	Store       memkv.Stats      `json:"store"`
+	Faults      Faults           `json:"faults"`
+	Calls       int64            `json:"calls"`
+	CallsByPath map[string]int64 `json:"calls_by_path"`
 }
 
 // State returns the current dump.
 func (s *Server) State() State {
-	st := State{Store: s.store.Stats(), Faults: s.currentFaults(), Calls: s.calls.Load(), ByCall: map[string]int64{}}
-	s.byCall.Range(func(k, v any) bool {
-		st.ByCall[k.(string)] = v.(*atomic.Int64).Load()
+	st := State{Store: s.store.Stats(), Faults: s.currentFaults(), Calls: s.calls.Load(), CallsByPath: map[string]int64{}}
+	s.callsByPath.Range(func(k, v any) bool {
+		st.CallsByPath[k.(string)] = v.(*atomic.Int64).Load()
 		return true
 	})
 	return st
 }
 
-// Handler serves the API plus /debug/state (GET) and /fault (PUT, a JSON
-// Faults body).
+// Handler serves the API, GET /debug/state and PUT /fault (Faults as JSON).
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handle(s, mux, api.PathRange, false, func(ctx context.Context, r api.RangeRequest) (any, error) { return s.rangeKeys(ctx, r) })
--- a/standin/raterd/doc.go
+++ b/standin/raterd/doc.go
@@ -1,5 +1,5 @@
-// Package raterd is the stand-in for the service that rates answers. A
-// version has a skill and a prompt a difficulty (by its length); the score
-// falls off where difficulty passes skill. Scores are a function of the
-// request, so a run can be repeated.
+// Package raterd simulates the service that rates answers. A version has a
+// skill and a prompt a difficulty, which grows with its length; the score grows
+// with skill minus difficulty. Scores are a deterministic function of the
+// request, so that runs are reproducible.
 package raterd
--- a/standin/raterd/rater.go
+++ b/standin/raterd/rater.go
@@ -12,53 +12,55 @@
 	"github.com/lovageweir/lovageweir/standin/control"
 )
 
-// DefaultSkill is the skill of a version that was given none.
+// DefaultSkill is the skill of a version without a configured skill.
 const DefaultSkill = 0.6
 
-// Settings are the rater's, and can be changed at run time.
+// Settings configure a Rater and can be changed at run time.
 type Settings struct {
-	// Skill is by model, or by model@version, which goes first.
+	// Skill is keyed by model or by model@version, which takes precedence.
 	Skill map[string]float64 `json:"skill"`
-	// Down refuses every rating; DelayMillis delays each.
+	// Down fails every rating; DelayMillis delays each by this many milliseconds.
 	Down        bool `json:"down"`
 	DelayMillis int  `json:"delay_ms"`
 }
 
-// Rater is the stand-in.
+// Rater rates answers from the skill of their version.
 type Rater struct {
-	mu    sync.Mutex
-	set   Settings
-	rated int64
+	mu       sync.Mutex
+	settings Settings
+	rated    int64
 }
 
 // New returns a rater.
-func New(set Settings) *Rater { return &Rater{set: set} }
+func New(settings Settings) *Rater { return &Rater{settings: settings} }
 
 // Set replaces the settings.
 func (r *Rater) Set(s Settings) {
 	r.mu.Lock()
-	r.set = s
+	r.settings = s
 	r.mu.Unlock()
 }
 
-// Difficulty of a prompt: 0 for a short question, 1 for a dossier of 64 KB.
+// Difficulty returns the difficulty of a prompt, from 0 (short, below 64 bytes)
+// to 1 (64 KB or more).
 func Difficulty(prompt string) float64 {
 	return math.Min(1, math.Max(0, math.Log2(float64(len(prompt)+1)/64)/10))
 }
 
-// noise is a request's luck, between -0.15 and 0.15.
+// noise is a pseudo-random score offset between -0.15 and 0.15, derived from the
+// request id.
 func noise(id string) float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return float64(h.Sum32()%1000)/1000*0.3 - 0.15
 }
 
-// Score rates a with skill s.
+// Score returns the score from 0 to 1 of an answer by a version with this skill.
 func Score(a rater.Answer, skill float64) float64 {
 	return math.Min(1, math.Max(0, 0.8+1.5*(skill-Difficulty(a.Prompt))+noise(a.RequestID)))
 }
 
-func (s Settings) skillOf(a rater.Answer) float64 {
+func (s Settings) skillFor(a rater.Answer) float64 {
 	if v, ok := s.Skill[a.Model+"@"+a.Version]; ok {
 		return v
 	}
@@ -84,20 +86,20 @@
 			return
 		}
 		r.mu.Lock()
-		set := r.set
+		settings := r.settings
 		r.rated++
 		r.mu.Unlock()
-		time.Sleep(time.Duration(set.DelayMillis) * time.Millisecond)
-		if set.Down {
+		time.Sleep(time.Duration(settings.DelayMillis) * time.Millisecond)
+		if settings.Down {
 			http.Error(w, "rater is down", http.StatusServiceUnavailable)
 			return
 		}
-		control.WriteJSON(w, rater.Score{Score: Score(a, set.skillOf(a))})
+		control.WriteJSON(w, rater.Score{Score: Score(a, settings.skillFor(a))})
 	})
 	control.State(mux, func() any {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return State{Rated: r.rated, Settings: r.set}
+		return State{Rated: r.rated, Settings: r.settings}
 	})
 	control.Switches(mux, r.Set)
 	return mux
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -10,52 +10,53 @@
 	"github.com/lovageweir/lovageweir/standin/control"
 )
 
-// Faults are the run-time switches.
+// Faults are the faults that can be injected at run time.
 type Faults struct {
-	// LoseAnswers runs the call and then breaks the connection.
+	// LoseAnswers executes the call and then closes the connection without a response.
 	LoseAnswers bool `json:"lose_answers"`
-	// Refuse answers 503 without running anything.
+	// Refuse responds with status 503 and does not execute the call.
 	Refuse bool `json:"refuse"`
 }
 
-// Execution is one call that ran.
+// Execution is one executed call.
 type Execution struct {
-	RequestID string `json:"request_id"`
-	Key       string `json:"idempotency_key"`
-	Path      string `json:"path"`
-	Body      string `json:"body"`
+	RequestID      string `json:"request_id"`
+	IdempotencyKey string `json:"idempotency_key"`
+	Path           string `json:"path"`
+	Body           string `json:"body"`
 }
 
-// Posted is the answer to a call: how many had run when it ended.
+// Posted is the response to a call; its field Posted is the number of executions
+// so far, this one included.
 type Posted struct {
 	Posted    int    `json:"posted"`
 	RequestID string `json:"request_id"`
 }
 
-// Service is one stand-in service.
+// Service simulates a service whose calls are not idempotent.
 type Service struct {
-	work time.Duration
+	callTime time.Duration
 
-	mu     sync.Mutex
-	faults Faults
-	ran    []Execution
+	mu         sync.Mutex
+	faults     Faults
+	executions []Execution
 }
 
-// New returns a service whose calls take work.
-func New(work time.Duration) *Service { return &Service{work: work} }
+// New returns a service whose calls take callTime.
+func New(callTime time.Duration) *Service { return &Service{callTime: callTime} }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
 }
 
-// Ran returns every execution so far.
+// Ran returns all executions so far, in order.
 func (s *Service) Ran() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Execution(nil), s.ran...)
+	return append([]Execution(nil), s.executions...)
 }
 
 // State is the service's state dump.
@@ -64,19 +65,19 @@
 	Ran        []Execution `json:"ran"`
 }
 
-// Handler serves any POST as a call, GET /debug/state and PUT /fault.
+// Handler serves every POST as a call, GET /debug/state and PUT /fault.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /", s.call)
+	mux.HandleFunc("POST /", s.handleCall)
 	control.State(mux, func() any {
-		ran := s.Ran()
-		return State{Executions: len(ran), Ran: ran}
+		executions := s.Ran()
+		return State{Executions: len(executions), Ran: executions}
 	})
 	control.Switches(mux, s.SetFaults)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -84,16 +85,16 @@
 	s.mu.Lock()
 	f := s.faults
 	if !f.Refuse {
-		s.ran = append(s.ran, Execution{RequestID: r.Header.Get(openai.HeaderRequestID), Key: r.Header.Get(openai.HeaderIdempotencyKey),
+		s.executions = append(s.executions, Execution{RequestID: r.Header.Get(openai.HeaderRequestID), IdempotencyKey: r.Header.Get(openai.HeaderIdempotencyKey),
 			Path: r.URL.Path, Body: string(body)})
 	}
-	n := len(s.ran)
+	n := len(s.executions)
 	s.mu.Unlock()
 	if f.Refuse {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
-	time.Sleep(s.work)
+	time.Sleep(s.callTime)
 	if f.LoseAnswers {
 		panic(http.ErrAbortHandler)
 	}
--- a/standin/weights/doc.go
+++ b/standin/weights/doc.go
@@ -1,3 +1,3 @@
-// Package weights is the stand-in for the platform's rate-limited weight
-// store, from which engines fetch a version before they load it.
+// Package weights simulates the platform's rate-limited weight store, from
+// which engines fetch a version before they load it.
 package weights
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -11,14 +11,15 @@
 	"github.com/lovageweir/lovageweir/standin/control"
 )
 
-// Store serves at most one fetch per interval, and Burst at once.
+// Store limits fetches with a token bucket: one per interval, and up to burst at
+// once.
 type Store struct {
 	clock    clockwork.Clock
 	interval time.Duration
 	burst    int
 
 	mu      sync.Mutex
-	next    time.Time // when the bucket would be full again
+	fullAt  time.Time // when the token bucket is full again
 	served  int64
 	refused int64
 }
@@ -28,20 +29,20 @@
 	return &Store{clock: clock, interval: interval, burst: max(burst, 1)}
 }
 
-// take spends one fetch, or says how long until there is one.
+// take takes a token and returns 0, or returns how long until one is available.
 func (s *Store) take() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if s.next.Before(now) {
-		s.next = now
+	if s.fullAt.Before(now) {
+		s.fullAt = now
 	}
-	ahead := s.next.Sub(now)
-	if room := s.interval * time.Duration(s.burst-1); ahead > room {
+	untilFull := s.fullAt.Sub(now)
+	if limit := s.interval * time.Duration(s.burst-1); untilFull > limit {
 		s.refused++
-		return ahead - room
+		return untilFull - limit
 	}
-	s.next = s.next.Add(s.interval)
+	s.fullAt = s.fullAt.Add(s.interval)
 	s.served++
 	return 0
 }
