--- a/e2e/path_test.go
+++ b/e2e/chat_test.go
@@ -13,21 +13,21 @@
 
 func TestStreamedAnswerArrivesWholeAndInOrder(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	const tokens = 20
 	a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: tokens})
 	is.Equal(a.status, http.StatusOK)
-	is.True(a.done) // the stream ended with [DONE], not cut off
+	is.True(a.done) // the stream ended with [DONE]
 	is.Equal(len(a.chunks), tokens)
 	for i, ch := range a.chunks {
-		is.Equal(ch.ID, a.rid)                                        // never another request's chunk
-		is.Equal(ch.Choices[0].Delta.Content, engine.Token(a.rid, i)) // whole and in order
+		is.Equal(ch.ID, a.requestID)                                        // no chunk of another request
+		is.Equal(ch.Choices[0].Delta.Content, engine.Token(a.requestID, i)) // complete and in order
 	}
 }
 
 func TestDisallowedModelIsRefusedNotRun(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	a := c.chat(t, 0, request{key: "kn", model: "m", tokens: 3})
 	is.Equal(a.status, http.StatusForbidden)
 	var body openai.ErrorBody
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -17,14 +17,14 @@
 	"github.com/lovageweir/lovageweir/openai"
 )
 
-// plan says what a test cluster is made of.
-type plan struct {
-	entries int    // in failure domain fd-1, peers of each other
-	step    string // an engine's time per token; "" is 1ms
-	config  string // more configuration, merged last
-	rater   string // skills as JSON; "" starts no rater
-	work    string // the service's time per call; "" is 5ms
-	drain   string // the entries' drain_timeout; "" leaves the default
+// clusterOptions describe a test cluster.
+type clusterOptions struct {
+	entries      int    // in failure domain fd-1, peers of each other
+	step         string // time per token of the engines; "" is 1ms
+	config       string // additional configuration, merged last
+	rater        string // skills as JSON; "" starts no rater
+	work         string // time per call of the service; "" is 5ms
+	drainTimeout string // drain_timeout of the entries; "" leaves the default
 }
 
 // cluster is a KV stand-in, two engines of model m (v1 and v2), a plain
@@ -41,12 +41,12 @@
 
 type entry struct {
 	url string
-	*proc
+	*process
 }
 
-// base is the configuration every cluster starts with: customer "allowed"
-// may use model m and the service, "narrow" only model other.
-const base = `
+// baseConfig is the initial configuration of every cluster. Customer "allowed" may
+// use model m and the service, customer "narrow" only model other.
+const baseConfig = `
 models:
   m: {cost_per_mtok: 1, versions: {v1: {state: active, weight: 1}, v2: {state: active, weight: 0}}}
   other: {versions: {v1: {state: active, weight: 1}}}
@@ -62,71 +62,71 @@
 
 const sessionKeys = "session_key_current: k1\nsession_keys: {k1: 6c6f76616765776569722d64656d6f2d6b65792d6e6f742d666f722d75736521}\n"
 
-func startCluster(t *testing.T, p plan) *cluster {
+func startCluster(t *testing.T, options clusterOptions) *cluster {
 	t.Helper()
-	entryBin, ctl := binaries(t)
-	if p.step == "" {
-		p.step = "1ms"
+	entryBin, ctl := buildBinaries(t)
+	if options.step == "" {
+		options.step = "1ms"
 	}
-	if p.work == "" {
-		p.work = "5ms"
+	if options.work == "" {
+		options.work = "5ms"
 	}
 	c := &cluster{ctl: ctl, dir: t.TempDir(), kv: freeAddr(t), service: freeAddr(t), instances: freeAddr(t),
 		engines: map[string]string{"v1": freeAddr(t), "v2": freeAddr(t)}}
-	start(t, ctl, "standin", "kv", "--listen", c.kv)
-	start(t, ctl, "standin", "service", "--listen", c.service, "--work", p.work)
-	start(t, ctl, "standin", "instances", "--listen", c.instances, "--lag", "500ms")
+	startProcess(t, ctl, "standin", "kv", "--listen", c.kv)
+	startProcess(t, ctl, "standin", "service", "--listen", c.service, "--work", options.work)
+	startProcess(t, ctl, "standin", "instances", "--listen", c.instances, "--lag", "500ms")
 	for v, addr := range c.engines {
-		start(t, ctl, "standin", "engine", "--listen", addr, "--model", "m", "--version", v, "--step", p.step)
+		startProcess(t, ctl, "standin", "engine", "--listen", addr, "--model", "m", "--version", v, "--step", options.step)
 	}
 	rater := ""
-	if p.rater != "" {
+	if options.rater != "" {
 		addr := freeAddr(t)
-		start(t, ctl, "standin", "rater", "--listen", addr, "--skill", p.rater)
+		startProcess(t, ctl, "standin", "rater", "--listen", addr, "--skill", options.rater)
 		waitHTTP(t, "http://"+addr+"/debug/state")
 		rater = "rater: http://" + addr + "\n"
 	}
 	for _, addr := range []string{c.kv, c.service, c.instances, c.engines["v1"], c.engines["v2"]} {
 		waitHTTP(t, "http://"+addr+"/debug/state")
 	}
-	drain := ""
-	if p.drain != "" {
-		drain = "drain_timeout: " + p.drain + "\n"
+	drainTimeout := ""
+	if options.drainTimeout != "" {
+		drainTimeout = "drain_timeout: " + options.drainTimeout + "\n"
 	}
-	addrs := make([]string, p.entries)
+	addrs := make([]string, options.entries)
 	for i := range addrs {
 		addrs[i] = freeAddr(t)
 	}
 	for i, addr := range addrs {
 		settings := fmt.Sprintf("instance: e%d\ndomain: fd-1\nlisten: %s\nkv: http://%s\ninstances: http://%s\npeers: [http://%s]\nmanage_engines: true\n%s%s%s",
-			i, addr, c.kv, c.instances, strings.Join(addrs, ", http://"), rater, drain, sessionKeys)
+			i, addr, c.kv, c.instances, strings.Join(addrs, ", http://"), rater, drainTimeout, sessionKeys)
 		path := filepath.Join(c.dir, fmt.Sprintf("entry-%d.yaml", i))
-		write(t, path, settings)
-		c.entries = append(c.entries, &entry{url: "http://" + addr, proc: start(t, entryBin, "-c", path)})
+		writeFile(t, path, settings)
+		c.entries = append(c.entries, &entry{url: "http://" + addr, process: startProcess(t, entryBin, "-c", path)})
 	}
 	for _, e := range c.entries {
 		waitHTTP(t, e.url+"/healthz")
 	}
-	c.apply(t, p.config)
+	c.apply(t, options.config)
 	for _, e := range c.entries {
 		waitHTTP(t, e.url+"/readyz")
 	}
 	return c
 }
 
-// apply applies the base configuration with more on top of it.
-func (c *cluster) apply(t *testing.T, more string) {
+// apply applies the base configuration with overrides merged into it.
+func (c *cluster) apply(t *testing.T, overrides string) {
 	t.Helper()
 	dir := filepath.Join(c.dir, "cfg")
-	b := strings.NewReplacer("ENGINE1", c.engines["v1"], "ENGINE2", c.engines["v2"], "SERVICE", c.service).Replace(base)
-	write(t, filepath.Join(dir, "10-base.yaml"), b)
-	write(t, filepath.Join(dir, "90-more.yaml"), more+"\n")
+	b := strings.NewReplacer("ENGINE1", c.engines["v1"], "ENGINE2", c.engines["v2"], "SERVICE", c.service).Replace(baseConfig)
+	writeFile(t, filepath.Join(dir, "10-base.yaml"), b)
+	writeFile(t, filepath.Join(dir, "90-more.yaml"), overrides+"\n")
 	if out, err := exec.Command(c.ctl, "apply", dir, "--kv", "http://"+c.kv).CombinedOutput(); err != nil {
 		t.Fatalf("apply: %v\n%s", err, out)
 	}
 }
 
-func write(t *testing.T, path, body string) {
+func writeFile(t *testing.T, path, body string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -136,50 +136,50 @@
 	}
 }
 
-// request is one chat request.
+// request is a chat request.
 type request struct {
-	key, model    string
-	stream        bool
-	tokens        int
-	session, pins string
-	onFirst       func() // called after the first chunk arrived
+	key, model            string
+	stream                bool
+	tokens                int
+	session, sessionToken string
+	onFirstChunk          func() // called when the first chunk has arrived
 }
 
-// answer is what came back.
-type answer struct {
-	status int
-	header http.Header
-	rid    string
-	body   []byte // whole answers and refusals
-	chunks []openai.Chunk
-	done   bool // the stream ended with [DONE]
-	inBand string
-	err    error // the connection broke
+// response is the response to a chat request.
+type response struct {
+	status      int
+	header      http.Header
+	requestID   string
+	body        []byte // of non-streamed responses and of refusals
+	chunks      []openai.Chunk
+	done        bool // the stream ended with [DONE]
+	inBandError string
+	err         error // of reading the response, such as a broken connection
 }
 
-// chat sends a request through an entry and takes the whole answer.
-func (c *cluster) chat(t *testing.T, entry int, r request) answer {
+// chat sends a request through an entry and reads the whole response.
+func (c *cluster) chat(t *testing.T, entry int, r request) response {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"hi"}]}`, r.model, r.stream, r.tokens)
 	req, _ := http.NewRequest(http.MethodPost, c.entries[entry].url+"/v1/chat/completions", strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+r.key)
 	req.Header.Set(openai.HeaderSessionID, r.session)
-	req.Header.Set(openai.HeaderSessionToken, r.pins)
+	req.Header.Set(openai.HeaderSessionToken, r.sessionToken)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	a := answer{status: resp.StatusCode, header: resp.Header, rid: resp.Header.Get(openai.HeaderRequestID)}
+	a := response{status: resp.StatusCode, header: resp.Header, requestID: resp.Header.Get(openai.HeaderRequestID)}
 	if !r.stream || resp.StatusCode != http.StatusOK {
 		a.body, a.err = io.ReadAll(resp.Body)
 		return a
 	}
-	a.readStream(t, resp.Body, r.onFirst)
+	a.readStream(t, resp.Body, r.onFirstChunk)
 	return a
 }
 
-func (a *answer) readStream(t *testing.T, body io.Reader, onFirst func()) {
+func (a *response) readStream(t *testing.T, body io.Reader, onFirstChunk func()) {
 	t.Helper()
 	sc := bufio.NewScanner(body)
 	for sc.Scan() && !a.done {
@@ -189,22 +189,22 @@
 		case string(data) == "[DONE]":
 			a.done = true
 		case bytes.Contains(data, []byte(`"error"`)):
-			a.inBand = string(data)
+			a.inBandError = string(data)
 		default:
 			var ch openai.Chunk
 			if err := json.Unmarshal(data, &ch); err != nil {
 				t.Fatal(err)
 			}
 			a.chunks = append(a.chunks, ch)
-			if len(a.chunks) == 1 && onFirst != nil {
-				onFirst()
+			if len(a.chunks) == 1 && onFirstChunk != nil {
+				onFirstChunk()
 			}
 		}
 	}
 	a.err = sc.Err()
 }
 
-// put sends body to a stand-in's switch.
+// putJSON sends body to a stand-in.
 func putJSON(t *testing.T, url, body string) {
 	t.Helper()
 	req, _ := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
@@ -215,7 +215,7 @@
 	resp.Body.Close()
 }
 
-// getJSON reads a state dump.
+// getJSON decodes the JSON response of url into out.
 func getJSON(t *testing.T, url string, out any) {
 	t.Helper()
 	resp, err := http.Get(url)
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -12,8 +12,9 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Guards against a request that crashes engines getting through again after all entries were killed at once.
-func TestEdgeQuarantineOutlivesAllEntries(t *testing.T) {
+// Guards against a quarantined request, one that crashes engines, being served
+// again after all entries were killed at once.
+func TestEdgeQuarantineSurvivesKillOfAllEntries(t *testing.T) {
 	is := is.New(t)
 	const poison = "poison"
 	c := newEdgeCluster(t, edgeOptions{entries: 3, engines: 6, crashOn: poison})
@@ -22,15 +23,15 @@
 		return err == nil && status == http.StatusServiceUnavailable && strings.Contains(body, "quarantined")
 	}
 	for !quarantined(c.entries[0]) {
-		is.True(c.running() >= 3) // it has crashed no more than three
+		is.True(c.runningEngines() >= 3) // it has crashed at most three engines
 	}
 	for _, e := range c.entries {
 		eventually(t, "all entries know the record", func() bool { return len(e.dump().Quarantine.Quarantined) == 1 && e.dump().Quarantine.Recorded == 1 })
 	}
-	left := c.running()
+	before := c.runningEngines()
 	for _, e := range c.entries {
 		e.signal(t, syscall.SIGKILL)
-		_ = e.cmd.Wait() // it was killed
+		_ = e.cmd.Wait() // the error reports the kill
 	}
 	for _, e := range c.entries {
 		e.restart(t)
@@ -39,15 +40,15 @@
 		eventually(t, "the entry knows its configuration", func() bool { return e.dump().Config == 1 })
 		is.True(quarantined(e))
 	}
-	is.Equal(c.running(), left)
+	is.Equal(c.runningEngines(), before)
 	eventually(t, "lawful requests are served", func() bool {
 		status, _, err := c.entries[0].request("/v1/x")
 		return err == nil && status == http.StatusOK
 	})
 }
 
-// running is how many engines have not ended.
-func (c *edgeCluster) running() int {
+// runningEngines returns how many engines still accept connections.
+func (c *edgeCluster) runningEngines() int {
 	n := 0
 	for _, e := range c.engines {
 		if upstream.Check(e.cmd.Args[slices.Index(e.cmd.Args, "--listen")+1]) == nil {
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds tests that build the two binaries and run the stand-ins
-// and entry instances as separate processes on loopback.
+// Package e2e contains end-to-end tests. They build both binaries and run the
+// stand-ins and entries as separate processes on loopback.
 package e2e
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -26,71 +26,72 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// edgeCluster is the platform's store, engines and entries, each a process.
+// edgeCluster is the platform's store, engines and entries, each in a process of
+// its own.
 type edgeCluster struct {
 	t       *testing.T
 	store   *platform.Store
 	address string
 	entries []*edgeEntry
-	engines []*proc
+	engines []*process
 }
 
-// edgeOptions are what a cluster is made of; what is zero has a default.
+// edgeOptions describe an edgeCluster. Zero grace, work and events have defaults.
 type edgeOptions struct {
 	entries, engines int
 	grace            time.Duration // between SIGTERM and SIGKILL
-	work             time.Duration // of an engine on a plain request
-	events           int           // of a stream, 50 ms apart
-	crashOn          string        // a body that crashes the engines
+	work             time.Duration // processing time of a non-streamed request
+	events           int           // per stream, 50 ms apart
+	crashOn          string        // request body that crashes an engine
 }
 
 type edgeEntry struct {
-	*proc
+	*process
 	callers, readiness, peers string
 }
 
-func newEdgeCluster(t *testing.T, o edgeOptions) *edgeCluster {
+func newEdgeCluster(t *testing.T, options edgeOptions) *edgeCluster {
 	t.Helper()
-	o.grace = cmp.Or(o.grace, 8*time.Second)
-	o.work = cmp.Or(o.work, time.Millisecond)
-	o.events = cmp.Or(o.events, 20)
-	bin, ctl := binaries(t)
+	options.grace = cmp.Or(options.grace, 8*time.Second)
+	options.work = cmp.Or(options.work, time.Millisecond)
+	options.events = cmp.Or(options.events, 20)
+	bin, ctl := buildBinaries(t)
 	c := &edgeCluster{t: t, address: freeAddr(t)}
-	start(t, ctl, "standin", "platform-store", "--listen", c.address)
+	startProcess(t, ctl, "standin", "platform-store", "--listen", c.address)
 	c.store = platform.NewStore(c.address)
 	eventually(t, "the store answers", func() bool {
 		_, _, err := c.store.Get(context.Background(), "", true)
 		return err == nil
 	})
 	c.configure(1)
-	for i := range o.engines {
-		c.engines = append(c.engines, start(t, ctl, "standin", "platform-engine", "--listen", freeAddr(t), "--store", c.address, "--id", fmt.Sprintf("e%d", i),
-			"--service", "svc", "--domain", "d1", "--events", strconv.Itoa(o.events), "--pause", "50ms", "--work", o.work.String(), "--faults", "0", "--crash-on", o.crashOn))
+	for i := range options.engines {
+		c.engines = append(c.engines, startProcess(t, ctl, "standin", "platform-engine", "--listen", freeAddr(t), "--store", c.address, "--id", fmt.Sprintf("e%d", i),
+			"--service", "svc", "--domain", "d1", "--events", strconv.Itoa(options.events), "--pause", "50ms", "--work", options.work.String(), "--faults", "0", "--crash-on", options.crashOn))
 	}
-	for i := range o.entries {
+	for i := range options.entries {
 		e := &edgeEntry{callers: freeAddr(t), readiness: freeAddr(t), peers: freeAddr(t)}
 		path := filepath.Join(t.TempDir(), "entry.yaml")
 		settings := fmt.Sprintf("instance: i%d\ndomain: d1\nstore: %q\nlisten: {callers: %q, readiness: %q, peers: %q, loads: %q}\nbounds: {grace_s: %v}\n",
-			i, c.address, e.callers, e.readiness, e.peers, freeAddr(t), o.grace.Seconds())
+			i, c.address, e.callers, e.readiness, e.peers, freeAddr(t), options.grace.Seconds())
 		if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		e.proc = start(t, bin, "edge", "--settings", path)
+		e.process = startProcess(t, bin, "edge", "--settings", path)
 		c.entries = append(c.entries, e)
 	}
 	for _, e := range c.entries {
-		eventually(t, "an entry knows the engines", func() bool { return len(e.dump().endpoints()) == o.engines })
+		eventually(t, "an entry knows the engines", func() bool { return len(e.dump().endpoints()) == options.engines })
 	}
 	return c
 }
 
 func (c *edgeCluster) configure(version int64) {
 	c.t.Helper()
-	to := []fleet.Target{{Service: "svc", Weight: 1}}
+	targets := []fleet.Target{{Service: "svc", Weight: 1}}
 	cfg := &fleet.Config{Version: version, Routes: []fleet.Route{
-		{Name: "s", Host: "h.example", Prefix: "/s/", Kind: fleet.Streaming, Timeout: 20 * time.Second, Objective: 2 * time.Second, MaxGap: time.Second, MaxAttempts: 1, Targets: to},
-		{Name: "p", Host: "h.example", Prefix: "/p/", Kind: fleet.NonIdempotent, Timeout: time.Second, Objective: 400 * time.Millisecond, MaxAttempts: 1, Targets: to},
-		{Name: "v", Host: "h.example", Prefix: fmt.Sprintf("/v%d/", version), Kind: fleet.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 2, Targets: to},
+		{Name: "s", Host: "h.example", Prefix: "/s/", Kind: fleet.Streaming, Timeout: 20 * time.Second, Objective: 2 * time.Second, MaxGap: time.Second, MaxAttempts: 1, Targets: targets},
+		{Name: "p", Host: "h.example", Prefix: "/p/", Kind: fleet.NonIdempotent, Timeout: time.Second, Objective: 400 * time.Millisecond, MaxAttempts: 1, Targets: targets},
+		{Name: "v", Host: "h.example", Prefix: fmt.Sprintf("/v%d/", version), Kind: fleet.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 2, Targets: targets},
 	}}
 	if _, err := c.store.Put(context.Background(), "op/config", platformtest.EncodeConfig(cfg), 0); err != nil {
 		c.t.Fatal(err)
@@ -123,8 +124,8 @@
 	return e.requestWith(path, "body")
 }
 
-func (e *edgeEntry) requestWith(path, content string) (status int, body string, err error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+e.callers+path, strings.NewReader(content))
+func (e *edgeEntry) requestWith(path, requestBody string) (status int, body string, err error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+e.callers+path, strings.NewReader(requestBody))
 	if err != nil {
 		return 0, "", err
 	}
@@ -139,9 +140,8 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// Symptom: a planned stop cuts off streams.
-// Events: SIGTERM while a stream is on its way; the entry says that it is not
-// ready, serves on, and ends once the stream has.
+// Guards against a planned stop that cuts off streams. On SIGTERM during a stream
+// the entry reports that it is not ready, completes the stream and then exits.
 func TestEdgePlannedStopCutsNoStream(t *testing.T) {
 	is := is.New(t)
 	c := newEdgeCluster(t, edgeOptions{entries: 1, engines: 1})
@@ -150,10 +150,10 @@
 		body string
 		err  error
 	}
-	got := make(chan result)
+	results := make(chan result)
 	go func() {
 		_, body, err := e.request("/s/stream")
-		got <- result{body, err}
+		results <- result{body, err}
 	}()
 	eventually(t, "the stream is on its way", func() bool { return e.dump().InFlight == 1 })
 	e.signal(t, syscall.SIGTERM)
@@ -165,17 +165,17 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	r := <-got
+	r := <-results
 	is.NoErr(r.err)
 	is.Equal(r.body, platformtest.WholeStream(0, 20))
-	is.NoErr(e.cmd.Wait()) // it ends by itself
+	is.NoErr(e.cmd.Wait()) // it exits on its own
 }
 
-// ran are the ids of the requests that an engine has run; it ends the engine.
-func ran(t *testing.T, engine *proc) map[string]bool {
+// executedIDs kills an engine and returns the ids of the requests it has executed.
+func executedIDs(t *testing.T, engine *process) map[string]bool {
 	t.Helper()
 	engine.signal(t, syscall.SIGKILL)
-	_ = engine.cmd.Wait() // it was killed
+	_ = engine.cmd.Wait() // the error reports the kill
 	ids := map[string]bool{}
 	for line := range strings.Lines(engine.out.String()) {
 		var printed standin.Printed
@@ -186,14 +186,14 @@
 	return ids
 }
 
-// posting is a caller that posts to an entry until nobody listens there.
-type posting struct {
+// poster is a client that posts to an entry until its connections are refused.
+type poster struct {
 	client     *http.Client
-	unanswered []string // posts whose connection ended without a whole answer
+	unanswered []string // posts whose connection ended without a complete response
 	answered   int
 }
 
-func (p *posting) run(e *edgeEntry, name string) {
+func (p *poster) run(e *edgeEntry, name string) {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", name, i)
 		refused, err := p.post(e, id)
@@ -203,22 +203,22 @@
 		case err != nil:
 			p.unanswered = append(p.unanswered, id)
 		case refused:
-			time.Sleep(comesBack)
+			time.Sleep(retryDelay)
 		default:
 			p.answered++
 		}
 	}
 }
 
-// comesBack is when a caller that was refused comes back.
-const comesBack = 50 * time.Millisecond
+// retryDelay is how long a refused client waits before its next request.
+const retryDelay = 50 * time.Millisecond
 
-func (p *posting) post(e *edgeEntry, id string) (refused bool, err error) {
+func (p *poster) post(e *edgeEntry, id string) (refused bool, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.callers+"/p/x", strings.NewReader("body of "+id))
 	if err != nil {
 		return false, err
 	}
-	req.GetBody = nil // net/http would send it once more by itself
+	req.GetBody = nil // with GetBody, net/http may repeat the request
 	req.Host = "h.example"
 	req.Header.Set("X-Attempt-Id", id)
 	req.Header.Set("X-Deadline-Remaining", "1000")
@@ -231,24 +231,22 @@
 	return resp.StatusCode == http.StatusServiceUnavailable, err
 }
 
-// Symptom: a booking is made and its caller sees the connection close without an
-// answer, so that it cannot tell whether to book again.
-// Events: an entry gets SIGTERM; a long stream keeps it running until its grace
-// is nearly over; callers go on posting to it, on connections that they keep and
-// on new ones, as the balancer sends them there while most entries of the failure
-// domain are stopping; a post comes, reaches an endpoint, and the process ends.
-// Cause: calls were taken until the moment that the process ended, however long
-// they might take; streams only were refused once they would not fit.
-// Evidence: the lines of such requests end with the stop, 34 ms after they were
-// taken, with 800 ms allowed.
-func TestEdgePlannedStopAnswersWhatItHasTaken(t *testing.T) {
+// Guards against a booking that is made while its caller sees the connection close
+// without a response, so that it cannot tell whether to book again. After SIGTERM a
+// long stream keeps the entry running until its grace period is nearly over, and
+// callers go on posting to it over kept and new connections, because the load
+// balancer sends them there while most entries of the failure domain are stopping.
+// The entry used to accept calls until its process ended, however long they might
+// take; only streams that would not finish in time were refused. Log lines showed
+// such requests ended by the stop 34 ms after they were accepted, with 800 ms allowed.
+func TestEdgePlannedStopAnswersAcceptedRequests(t *testing.T) {
 	is := is.New(t)
 	c := newEdgeCluster(t, edgeOptions{entries: 1, engines: 1, grace: 3 * time.Second, work: 300 * time.Millisecond, events: 200})
 	e := c.entries[0]
-	go func() { _, _, _ = e.request("/s/stream") }() // it outlasts the grace
+	go func() { _, _, _ = e.request("/s/stream") }() // it outlasts the grace period
 	eventually(t, "the stream is on its way", func() bool { return e.dump().InFlight == 1 })
 	var wg sync.WaitGroup
-	posters := make([]posting, 6)
+	posters := make([]poster, 6)
 	for i := range posters {
 		p := &posters[i]
 		p.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}}
@@ -256,20 +254,20 @@
 	}
 	e.signal(t, syscall.SIGTERM)
 	wg.Wait()
-	is.NoErr(e.cmd.Wait()) // it ends by itself
-	has := ran(t, c.engines[0])
+	is.NoErr(e.cmd.Wait()) // it exits on its own
+	executed := executedIDs(t, c.engines[0])
 	for _, p := range posters {
 		is.True(p.answered > 0)
 		for _, id := range p.unanswered {
-			if has[id] {
-				t.Errorf("%s ran and its caller got no answer", id)
+			if executed[id] {
+				t.Errorf("request %s was executed, but its caller got no response", id)
 			}
 		}
 	}
 }
 
-// A change of the configuration reaches all entries, those that watch the
-// store and those that do not, and an entry that is killed comes back with it.
+// A configuration change reaches all entries, whether they watch the store or not,
+// and an entry that was killed restarts with the new configuration.
 func TestEdgeConfigurationReachesAllEntries(t *testing.T) {
 	is := is.New(t)
 	c := newEdgeCluster(t, edgeOptions{entries: 5, engines: 1})
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -17,58 +17,52 @@
 	"github.com/lovageweir/lovageweir/standin/service"
 )
 
-// TestPlannedStopCutsNoStream: invariant 9. Symptom: a caller's answer
-// stops halfway when an entry is replaced. Sequence: a streamed request is
-// in flight; the platform sends the entry SIGTERM (a planned stop). Cause,
-// in a server that closes on the signal: the open stream is cut. Here the
-// entry turns unready, refuses new work, waits for requests in flight, and
-// only then closes; the stream ends with [DONE]. What it served is billed
-// before it exits.
+// Invariant 9. Guards against a response that is cut off when its entry is
+// replaced, as in a server that closes its connections on SIGTERM. The entry
+// becomes unready, refuses new requests, waits for those in flight and only then
+// closes; the stream ends with [DONE], and it is billed before the entry exits.
 func TestPlannedStopCutsNoStream(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1, step: "20ms"})
-	const tokens = 40 // ~0.8 s of streaming
-	a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: tokens, onFirst: func() { c.entries[0].signal(t, syscall.SIGTERM) }})
+	c := startCluster(t, clusterOptions{entries: 1, step: "20ms"})
+	const tokens = 40 // about 0.8 s of streaming
+	a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: tokens, onFirstChunk: func() { c.entries[0].signal(t, syscall.SIGTERM) }})
 	is.True(a.done) // the stream was not cut by the stop
-	is.Equal(a.inBand, "")
+	is.Equal(a.inBandError, "")
 	is.Equal(len(a.chunks), tokens)
-	is.NoErr(c.entries[0].cmd.Wait()) // and the entry then exited cleanly
-	is.Equal(c.billed(t)[a.rid].Tokens(), tokens)
+	is.NoErr(c.entries[0].cmd.Wait()) // the entry exited cleanly
+	is.Equal(c.billingRecords(t)[a.requestID].Tokens(), tokens)
 }
 
-func (c *cluster) billed(t *testing.T) map[string]ledger.Record {
+func (c *cluster) billingRecords(t *testing.T) map[string]ledger.Record {
 	t.Helper()
-	recs, _, err := ledger.Read(context.Background(), etcdv3.New("http://"+c.kv, nil))
+	records, _, err := ledger.Read(context.Background(), etcdv3.New("http://"+c.kv, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return recs
+	return records
 }
 
-// TestKVOutageKeepsServing: symptom: callers refused while the platform's
-// KV service is down, though nothing changed. Sequence: configuration is
-// applied, then the KV goes down (every call refused), callers keep
-// asking. Cause, in an entry that needs the KV per request or drops its
-// configuration on a failed watch: refusals for the whole outage. Here the
-// data path makes no KV call and the last accepted configuration stays in
-// force; what was served is billed when the KV is back.
-func TestKVOutageKeepsServing(t *testing.T) {
+// Guards against requests that are refused for the whole of a KV outage, as by an
+// entry that calls the KV for each request or drops its configuration when a watch
+// fails. The data path makes no KV call, the last accepted configuration stays in
+// force, and the requests are billed when the KV is available again.
+func TestEntryServesDuringKVOutage(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	putJSON(t, "http://"+c.kv+"/fault", `{"down":true}`)
-	var rids []string
+	var requestIDs []string
 	for range 5 {
 		a := c.chat(t, 0, request{key: "ka", model: "m", tokens: 3})
 		is.Equal(a.status, http.StatusOK)
-		rids = append(rids, a.rid)
+		requestIDs = append(requestIDs, a.requestID)
 	}
 	a := c.chat(t, 0, request{key: "kn", model: "m", tokens: 3})
 	is.Equal(a.status, http.StatusForbidden) // the allow list still holds
 	putJSON(t, "http://"+c.kv+"/fault", `{}`)
 	eventually(t, "all five requests are billed", func() bool {
-		recs := c.billed(t)
-		for _, rid := range rids {
-			if _, ok := recs[rid]; !ok {
+		records := c.billingRecords(t)
+		for _, requestID := range requestIDs {
+			if _, ok := records[requestID]; !ok {
 				return false
 			}
 		}
@@ -76,61 +70,58 @@
 	})
 }
 
-// TestKilledEntryIsBilledByItsPeer: invariant 4. Symptom: a customer is
-// never billed for what an entry served just before it crashed. Sequence: an
-// entry ends one answer and is streaming another when it is killed. Cause,
-// if records lived in the entry only: both are lost. Here its peer holds
-// copies and bills both, the broken one as outcome_unknown, and its caller
-// sees the connection break, never an answer that looks whole.
+// Invariant 4. Guards against requests that are never billed because their entry
+// crashed and billing records existed only there. The entry is killed after one
+// response and during another; its peer holds copies of both records and bills
+// them, the interrupted one as outcome_unknown. The caller of that one sees the
+// connection break, never a response that looks complete.
 func TestKilledEntryIsBilledByItsPeer(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2, step: "20ms"})
+	c := startCluster(t, clusterOptions{entries: 2, step: "20ms"})
 	eventually(t, "the entries know each other", func() bool { return len(c.dump(t, 0).Peers.Live) == 1 && len(c.dump(t, 1).Peers.Live) == 1 })
 	first := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: 3})
 	is.True(first.done)
-	broken := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: 200, onFirst: func() {
+	broken := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: 200, onFirstChunk: func() {
 		eventually(t, "the peer holds a copy of the open request", func() bool { return c.dump(t, 1).Ledger.OwnersOpen == 1 })
 		c.entries[0].signal(t, syscall.SIGKILL)
 	}})
 	is.True(!broken.done)
 	eventually(t, "both requests are billed", func() bool {
-		recs := c.billed(t)
-		return recs[first.rid].Outcome == ledger.OutcomeOK && recs[broken.rid].Outcome == ledger.OutcomeUnknown
+		records := c.billingRecords(t)
+		return records[first.requestID].Outcome == ledger.OutcomeOK && records[broken.requestID].Outcome == ledger.OutcomeUnknown
 	})
-	is.Equal(len(c.billed(t)), 2)
+	is.Equal(len(c.billingRecords(t)), 2)
 }
 
-// TestBrokenStreamIsToldInBand: symptom: a caller waits for the rest of an
-// answer that will never come. Sequence: an engine's connection breaks, or
-// goes silent for good, in the middle of a stream. Cause, without the idle
-// timeout: only the caller's patience ends it.
-func TestBrokenStreamIsToldInBand(t *testing.T) {
+// Guards against a caller that waits indefinitely for the rest of a stream after the
+// engine's connection broke or went silent. Without the idle timeout, only the
+// caller's own timeout would end the request.
+func TestBrokenStreamEndsWithInBandError(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	for fault, code := range map[string]string{`{"cut_after":5}`: "stream_cut", `{"silent_after":5}`: "backend_silent"} {
 		putJSON(t, "http://"+c.engines["v1"]+"/fault", fault)
 		a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: 10})
 		is.Equal(len(a.chunks), 5)
 		is.True(!a.done)
-		is.True(strings.Contains(a.inBand, code))
+		is.True(strings.Contains(a.inBandError, code))
 	}
 }
 
-// TestPausedEntryCatchesUp: invariants 2 and 10. Symptom: a version withdrawn
-// minutes ago gets new work. Sequence: an entry is paused (SIGSTOP), the
-// operator withdraws v1 in favour of v2, the entry resumes. Once a request
-// has been decided under the new configuration none goes back to v1. (That
-// even the first one asks is proved on a fake clock:
-// configwatch.TestPausedEntryAsksBeforeItServes.)
+// Invariants 2 and 10. Guards against requests to a version that was withdrawn while
+// the entry was paused (SIGSTOP). Once a request has been routed under the new
+// configuration, none goes to v1 again. That even the first request after the pause
+// waits for the current configuration is tested with a fake clock in
+// configwatch.TestPausedEntryAsksBeforeItServes.
 func TestPausedEntryCatchesUp(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	version := func() string {
 		return c.chat(t, 0, request{key: "ka", model: "m", tokens: 2}).header.Get(openai.HeaderVersion)
 	}
 	is.Equal(version(), "v1")
 	c.entries[0].signal(t, syscall.SIGSTOP)
-	c.apply(t, withdrawV1)
+	c.apply(t, withdrawV1Config)
 	c.entries[0].signal(t, syscall.SIGCONT)
 	eventually(t, "work goes to v2", func() bool { return version() == "v2" })
 	for range 10 {
@@ -138,67 +129,63 @@
 	}
 }
 
-const withdrawV1 = "models: {m: {versions: {v1: {state: withdrawn, weight: 0}, v2: {state: active, weight: 1}}}}"
+const withdrawV1Config = "models: {m: {versions: {v1: {state: withdrawn, weight: 0}, v2: {state: active, weight: 1}}}}"
 
-// TestSessionOutlivesItsEntryAndIsToldOfWithdrawal: invariant 3. Symptom: a
-// session is answered by v1 and then by v2. Sequence: a session begins on
-// one entry, the weights move all new sessions to v2, the session goes on
-// through another entry; then v1 is withdrawn. It stays on v1, and is then
-// told so rather than switched.
-func TestSessionOutlivesItsEntryAndIsToldOfWithdrawal(t *testing.T) {
+// Invariant 3. Guards against a session that is served by v1 and then by v2. A
+// session begins on one entry, the weights move all new sessions to v2, and the
+// session continues through another entry on v1. When v1 is withdrawn, the session
+// gets an error instead of another version.
+func TestSessionKeepsVersionAcrossEntriesAndReportsWithdrawal(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	first := c.chat(t, 0, request{key: "ka", model: "m", tokens: 2, session: "s"})
-	pins := first.header.Get(openai.HeaderSessionToken)
-	is.True(pins != "")
+	sessionToken := first.header.Get(openai.HeaderSessionToken)
+	is.True(sessionToken != "")
 	c.apply(t, "models: {m: {versions: {v1: {state: active, weight: 0}, v2: {state: active, weight: 1}}}}")
 	eventually(t, "new sessions go to v2", func() bool {
 		return c.chat(t, 1, request{key: "ka", model: "m", tokens: 2, session: "new"}).header.Get(openai.HeaderVersion) == "v2"
 	})
-	is.Equal(c.chat(t, 1, request{key: "ka", model: "m", tokens: 2, session: "s", pins: pins}).header.Get(openai.HeaderVersion), "v1")
-	c.apply(t, withdrawV1)
+	is.Equal(c.chat(t, 1, request{key: "ka", model: "m", tokens: 2, session: "s", sessionToken: sessionToken}).header.Get(openai.HeaderVersion), "v1")
+	c.apply(t, withdrawV1Config)
 	eventually(t, "the session is told that its version is withdrawn", func() bool {
-		a := c.chat(t, 1, request{key: "ka", model: "m", tokens: 2, session: "s", pins: pins})
+		a := c.chat(t, 1, request{key: "ka", model: "m", tokens: 2, session: "s", sessionToken: sessionToken})
 		return a.status == http.StatusConflict && strings.Contains(string(a.body), "version_withdrawn")
 	})
 }
 
-// TestLeavingEndpointGetsNoNewWork: invariant 8. Symptom: work goes on
-// reaching an endpoint that is being taken away. Sequence: the platform's
-// list, with its lag, names one of two back ends as leaving; two entries
-// serve. Cause, if nobody read the list: its word never arrives.
+// Invariant 8. Guards against new requests to an endpoint that is being removed. The
+// platform's instance list, which lags, marks one of two back ends as leaving; both
+// entries must learn of it, which they would not if no entry read the list.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2, config: "models: {m: {versions: {v1: {weight: 1}, v2: {weight: 1}}}}"})
+	c := startCluster(t, clusterOptions{entries: 2, config: "models: {m: {versions: {v1: {weight: 1}, v2: {weight: 1}}}}"})
 	putJSON(t, "http://"+c.instances+openai.PathInstances, `[{"name":"e-v1","kind":"endpoint","state":"leaving"}]`)
 	eventually(t, "both entries know it leaves", func() bool {
 		return c.dump(t, 0).Endpoints.Backends["e-v1"].Leaving && c.dump(t, 1).Endpoints.Backends["e-v1"].Leaving
 	})
-	before := c.ran(t, "v1")
+	before := c.servedRequests(t, "v1")
 	for i := range 20 {
 		a := c.chat(t, i%2, request{key: "ka", model: "m", tokens: 2, session: string(rune('a' + i))})
 		is.True(a.header.Get(openai.HeaderBackend) != "e-v1")
 	}
-	is.Equal(c.ran(t, "v1"), before)
+	is.Equal(c.servedRequests(t, "v1"), before)
 }
 
-func (c *cluster) ran(t *testing.T, version string) int64 {
+func (c *cluster) servedRequests(t *testing.T, version string) int64 {
 	t.Helper()
 	var st engine.State
 	getJSON(t, "http://"+c.engines[version]+"/debug/state", &st)
 	return st.Served
 }
 
-// TestBadVersionIsHaltedEverywhere: symptom: customers go on getting drafts
-// of a version that turned bad. Sequence: half of the sessions go to v2,
-// whose answers the rater finds useless; only one of two entries serves
-// them, and the KV is down. Cause, without a guard, or with one that needs
-// the KV: exposure lasts until an operator acts. Here v2 is halted, the peer
-// hears of it, new sessions go to v1, and the halt is in the KV when it is
-// back.
+// Guards against a bad version that stays in use until an operator acts, as without
+// a guard or with one that depends on the KV. Half of the sessions go to v2, whose
+// answers get the lowest ratings; only one of two entries serves them, and the KV is
+// down. The entry halts v2, its peer learns of it, new sessions go to v1, and the
+// halt is stored when the KV is available again.
 func TestBadVersionIsHaltedEverywhere(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2, rater: `{"m@v1":0.9,"m@v2":-1}`,
+	c := startCluster(t, clusterOptions{entries: 2, rater: `{"m@v1":0.9,"m@v2":-1}`,
 		config: "models: {m: {versions: {v1: {weight: 1}, v2: {weight: 1, guard: {baseline: v1, min_score: 0.5}}}}}"})
 	putJSON(t, "http://"+c.kv+"/fault", `{"down":true}`)
 	halted := func(e int) bool { return c.dump(t, e).Guard["m@v2#0"].Halted }
@@ -210,23 +197,22 @@
 	})
 	is.True(sent < 200)
 	eventually(t, "its peer knows", func() bool { return halted(1) })
-	before := c.ran(t, "v2")
+	before := c.servedRequests(t, "v2")
 	for i := range 20 {
 		is.Equal(c.chat(t, 1, request{key: "ka", model: "m", tokens: 1, session: string(rune('a' + i))}).status, http.StatusOK)
 	}
-	is.Equal(c.ran(t, "v2"), before)
+	is.Equal(c.servedRequests(t, "v2"), before)
 	putJSON(t, "http://"+c.kv+"/fault", `{}`)
 	eventually(t, "the halt is in the KV", func() bool { return c.dump(t, 0).Guard["m@v2#0"].Stored })
 }
 
-// TestEngineIsBroughtToItsVersion: invariants 1 and 2. Symptom: an engine
-// goes on answering with a version that it should no longer serve. Sequence:
-// the configuration gives an engine another version, while requests come.
-// No request is answered by the version it had: the engine refuses a name it
-// has not loaded, and an entry orders it to load the new one.
-func TestEngineIsBroughtToItsVersion(t *testing.T) {
+// Invariants 1 and 2. Guards against an engine that goes on serving its previous
+// version after the configuration assigns another one to it while requests arrive.
+// The engine refuses requests for a version that it has not loaded, and an entry
+// orders it to load the new one.
+func TestEngineLoadsConfiguredVersion(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	c.apply(t, "models: {m: {versions: {v1: {state: withdrawn, weight: 0}, v2: {weight: 1}}}}\nbackends: {e-v1: {version: v2}}")
 	eventually(t, "the engine has loaded v2", func() bool {
 		for i := range c.entries {
@@ -240,16 +226,15 @@
 	})
 }
 
-// TestSilentWatchesAreRepaired: invariant 10. Symptom: entries serve an old
-// configuration for good. Sequence: every watch at the KV goes silent, then
-// the configuration changes.
-func TestSilentWatchesAreRepaired(t *testing.T) {
-	c := startCluster(t, plan{entries: 3})
+// Invariant 10. Guards against entries that keep an old configuration for good
+// because every KV watch went silent before the configuration changed.
+func TestConfigurationArrivesDespiteStalledWatches(t *testing.T) {
+	c := startCluster(t, clusterOptions{entries: 3})
 	putJSON(t, "http://"+c.kv+"/fault", `{"stall_watches":true}`)
-	for i := range 3 { // watches opened before the fault go on delivering
+	for i := range 3 { // watches opened before the fault still deliver events
 		c.apply(t, strings.Repeat("\n", i))
 	}
-	c.apply(t, withdrawV1)
+	c.apply(t, withdrawV1Config)
 	eventually(t, "every entry has the newest revision", func() bool {
 		revs := map[int64]bool{}
 		for i := range c.entries {
@@ -259,19 +244,19 @@
 	})
 }
 
-// TestPostingRunsOnceAcrossEntries: invariants 6 and 7. Symptom: a tenant is
-// reminded twice, or never. Sequence: a posting's answer is lost after it
-// ran, and its caller repeats it through the other entry; another is refused
-// by the service and repeated; the KV's answers are lost all the while for a
-// third. Cause, without claims that all entries see: the repeat runs.
+// Invariants 6 and 7. Guards against a posting that is executed twice or never. The
+// response to the first is lost after its execution, and its caller repeats it
+// through the other entry; without claims visible to all entries, the repeat would
+// be executed. The second is refused by the service and repeated, and the third is
+// sent while the KV's responses to writes are lost.
 func TestPostingRunsOnceAcrossEntries(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	svc := "http://" + c.service
 	putJSON(t, svc+"/fault", `{"lose_answers":true}`)
 	status, body := c.post(t, 0, "k1", "reminder-1")
 	is.Equal(status, http.StatusGatewayTimeout)
-	is.True(strings.Contains(body, openai.OutcomeUnknown)) // it may have run, and did
+	is.True(strings.Contains(body, openai.OutcomeUnknown)) // the caller is told that it may have run, and it did
 	putJSON(t, svc+"/fault", `{}`)
 	status, body = c.post(t, 1, "k1", "reminder-1")
 	is.Equal(status, http.StatusConflict)
@@ -301,14 +286,14 @@
 
 func (c *cluster) post(t *testing.T, entry int, key, body string) (int, string) {
 	t.Helper()
-	status, answer, err := c.tryPost(entry, key, body)
+	status, responseBody, err := c.tryPost(entry, key, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return status, answer
+	return status, responseBody
 }
 
-// tryPost is post where the connection may break; err says so.
+// tryPost is like post, but returns an error if the connection breaks.
 func (c *cluster) tryPost(entry int, key, body string) (int, string, error) {
 	req, _ := http.NewRequest(http.MethodPost, c.entries[entry].url+"/v1/services/postings/send", strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer ka")
@@ -319,7 +304,7 @@
 	}
 	defer resp.Body.Close()
 	b := new(strings.Builder)
-	_, err = copyAll(b, resp)
+	_, err = copyBody(b, resp)
 	return resp.StatusCode, b.String(), err
 }
 
@@ -334,14 +319,13 @@
 	return out
 }
 
-// TestReplacedEntryServesThroughAnOutage: symptom: a failure domain goes
-// dark when its entries are replaced while the KV is down. Sequence: the KV
-// goes down, one of two entries is killed and started anew with nothing.
-// Cause, if only the KV had the configuration: the new one has none. Here it
-// takes it from its peer.
-func TestReplacedEntryServesThroughAnOutage(t *testing.T) {
+// Guards against a failure domain that stops serving because its entries are
+// replaced during a KV outage. One of two entries is killed and restarted without
+// any state while the KV is down; it gets the configuration from its peer, because
+// the KV cannot provide it.
+func TestReplacedEntryServesDuringKVOutage(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	putJSON(t, "http://"+c.kv+"/fault", `{"down":true}`)
 	c.entries[1].signal(t, syscall.SIGKILL)
 	_ = c.entries[1].cmd.Wait()
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// readyWait bounds how long a test waits for a process to answer.
-const readyWait = 10 * time.Second
+// readyTimeout bounds how long a test waits for a process to respond.
+const readyTimeout = 10 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -26,8 +26,8 @@
 	buildErr  error
 )
 
-// binaries builds lovageweir and lovagectl once per test run.
-func binaries(t *testing.T) (entry, ctl string) {
+// buildBinaries builds lovageweir and lovagectl once per test run.
+func buildBinaries(t *testing.T) (entry, ctl string) {
 	t.Helper()
 	buildOnce.Do(func() {
 		binDir, buildErr = os.MkdirTemp("", "lovageweir-e2e-")
@@ -46,24 +46,25 @@
 	return filepath.Join(binDir, "lovageweir"), filepath.Join(binDir, "lovagectl")
 }
 
-// Processes under test listen below the range that the kernel hands out to
-// connections. Ports taken from that range and released are soon someone
-// else's: with other packages' tests running beside these, a process found
-// its address in use, or a test reached another package's server.
+// Processes under test listen on ports below the kernel's ephemeral range. A port
+// taken from that range and released is soon reused: with tests of other packages
+// running in parallel, a process found its address in use, or a test reached
+// another package's server.
 const (
 	firstPort = 24000
-	ports     = 8000
+	portCount = 8000
 )
 
-// nextPort is where the search goes on; runs side by side start apart.
+// nextPort is where the search for a free port continues. It starts at an offset
+// derived from the process id, so that parallel runs use different ports.
 var nextPort atomic.Int64
 
-// freeAddr returns a loopback address that nobody listens on.
+// freeAddr returns a loopback address that no process listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	nextPort.CompareAndSwap(0, int64(os.Getpid()*97%ports)+1)
-	for range ports {
-		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%ports)
+	nextPort.CompareAndSwap(0, int64(os.Getpid()*97%portCount)+1)
+	for range portCount {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%portCount)
 		if ln, err := net.Listen("tcp", addr); err == nil {
 			ln.Close()
 			return addr
@@ -73,15 +74,15 @@
 	return ""
 }
 
-// proc is one child process; it is killed when the test ends.
-type proc struct {
+// process is a child process that is killed when the test ends.
+type process struct {
 	cmd *exec.Cmd
 	out *strings.Builder
 }
 
-func start(t *testing.T, name string, args ...string) *proc {
+func startProcess(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	p := &proc{cmd: exec.Command(name, args...), out: &strings.Builder{}}
+	p := &process{cmd: exec.Command(name, args...), out: &strings.Builder{}}
 	p.cmd.Stdout, p.cmd.Stderr = p.out, p.out
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -96,42 +97,43 @@
 	return p
 }
 
-func (p *proc) signal(t *testing.T, s syscall.Signal) {
+func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// restart starts the same program again, as the platform does.
-func (p *proc) restart(t *testing.T) {
+// restart starts the program again with the same arguments, as the platform does.
+func (p *process) restart(t *testing.T) {
 	t.Helper()
-	*p = *start(t, p.cmd.Path, p.cmd.Args[1:]...)
+	*p = *startProcess(t, p.cmd.Path, p.cmd.Args[1:]...)
 }
 
-func copyAll(w io.Writer, resp *http.Response) (int64, error) { return io.Copy(w, resp.Body) }
+func copyBody(w io.Writer, resp *http.Response) (int64, error) { return io.Copy(w, resp.Body) }
 
-// settleWait bounds how long a cluster may take to come to what a test
-// waits for. It is far above what it takes, so that a slow machine gives the
-// same verdict; how fast things are is for the benchmarks.
-const settleWait = 60 * time.Second
+// convergeTimeout bounds how long a cluster may take to reach the state that a
+// test waits for. It is far above the usual time, so that tests do not fail on a
+// slow machine; speed is measured by the benchmarks.
+const convergeTimeout = 60 * time.Second
 
-// eventually polls until ok.
+// eventually polls until ok returns true, and fails the test after convergeTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(settleWait)
+	deadline := time.Now().Add(convergeTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("still not true: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// waitHTTP polls url until it answers 200 or readyWait passes.
+// waitHTTP polls url until it responds with status 200, and fails the test after
+// readyTimeout.
 func waitHTTP(t *testing.T, url string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), readyWait)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -146,5 +148,5 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	t.Fatalf("%s did not answer 200 within %v", url, readyWait)
+	t.Fatalf("%s did not respond with status 200 within %v", url, readyTimeout)
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -15,20 +15,18 @@
 	"github.com/lovageweir/lovageweir/openai"
 )
 
-// TestPlannedStopLeavesNoCallerWithoutAnswer: invariant 9 and the promise of
-// no silence, where a planned stop can't let everything finish. Symptom:
-// callers' connections close without an answer, the requests are not billed,
-// and the process exits with an error. Sequence: a stream and a posting are in
-// flight that take far longer than drain_timeout; the platform sends SIGTERM.
-// Cause: nothing ends requests when the stop's time is over, so the server waits
-// for them until the process is made to exit: it cuts them off, and never comes
-// to write its billing records. Here both callers are told that their request
-// may have run, the stream in band and without [DONE]; both are billed so, and
-// the posting keeps its claim.
+// Invariant 9, and the rule that every caller gets a response, for requests that
+// outlast a planned stop. Guards against connections that close without a response,
+// requests that are not billed and a process that exits with an error: unless
+// requests are ended when drain_timeout has passed, the server waits for them until
+// it is forced to exit, cuts them off and never writes its billing records. Here a
+// stream and a posting take far longer than drain_timeout. Both callers are told
+// that their request may have run, the stream in band and without [DONE]; both are
+// billed with that outcome, and the posting keeps its claim.
 func TestPlannedStopLeavesNoCallerWithoutAnswer(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, plan{entries: 1, step: "20ms", work: "1h", drain: "1s"})
-	const endless = 1_000_000 // tokens: more than five hours
+	c := startCluster(t, clusterOptions{entries: 1, step: "20ms", work: "1h", drainTimeout: "1s"})
+	const endless = 1_000_000 // tokens; they take more than five hours
 	type posted struct {
 		status int
 		body   string
@@ -42,25 +40,25 @@
 	}()
 	eventually(t, "the posting has reached the service", func() bool { return len(c.executions(t)) == 1 })
 
-	a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: endless, onFirst: func() { c.entries[0].signal(t, syscall.SIGTERM) }})
-	is.NoErr(a.err) // the stream was ended, not cut off
+	a := c.chat(t, 0, request{key: "ka", model: "m", stream: true, tokens: endless, onFirstChunk: func() { c.entries[0].signal(t, syscall.SIGTERM) }})
+	is.NoErr(a.err) // the stream was ended by the entry, not cut off
 	is.True(!a.done)
-	is.True(strings.Contains(a.inBand, openai.OutcomeUnknown))
-	is.True(strings.Contains(a.inBand, "entry_stopped")) // the true cause
+	is.True(strings.Contains(a.inBandError, openai.OutcomeUnknown))
+	is.True(strings.Contains(a.inBandError, "entry_stopped")) // the actual cause
 	p := <-posting
 	is.NoErr(p.err)
 	is.Equal(p.status, http.StatusGatewayTimeout)
 	is.True(strings.Contains(p.body, openai.OutcomeUnknown))
 	is.True(strings.Contains(p.body, "entry_stopped"))
 
-	is.NoErr(c.entries[0].cmd.Wait()) // and the entry then exited cleanly
-	bills := c.billed(t)
-	is.Equal(len(bills), 2)
-	is.Equal(bills[a.rid].Tokens(), len(a.chunks))
-	for _, b := range bills {
-		is.Equal(b.Outcome, ledger.OutcomeUnknown)
+	is.NoErr(c.entries[0].cmd.Wait()) // the entry exited cleanly
+	records := c.billingRecords(t)
+	is.Equal(len(records), 2)
+	is.Equal(records[a.requestID].Tokens(), len(a.chunks))
+	for _, r := range records {
+		is.Equal(r.Outcome, ledger.OutcomeUnknown)
 	}
 	_, claims, err := etcdv3.New("http://"+c.kv, nil).Get(context.Background(), idem.Prefix+"allowed/k1", false)
 	is.NoErr(err)
-	is.Equal(len(claims), 1) // a repeat must not run
+	is.Equal(len(claims), 1) // a repeated request must not be executed
 }
