--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines without ever making a request wait for
-// their reader: lines go into a bounded buffer that one goroutine writes out,
-// and what does not fit is dropped and counted.
+// Package asynclog writes log lines without blocking a request on a slow log
+// reader: lines go into a bounded buffer that one goroutine writes out, and lines
+// that do not fit are dropped and counted.
 package asynclog
 
 import (
@@ -12,14 +12,15 @@
 )
 
 const (
-	// DefaultCapacity holds some 2,000 lines.
+	// DefaultCapacity holds about 2,000 lines.
 	DefaultCapacity = 512 << 10
-	// flushEvery is how long lines wait to be written together: fewer writes
+	// flushInterval is how long lines are collected into one write: fewer writes
 	// cost less, and a line that explains a failure may be that late.
-	flushEvery = 250 * time.Millisecond
+	flushInterval = 250 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. Each Write must be whole lines.
+// Writer is an io.Writer that never blocks. Each Write must consist of
+// complete lines.
 type Writer struct {
 	out      io.Writer
 	capacity int
@@ -29,26 +30,26 @@
 	dropped int64
 	wake    chan struct{}
 	closed  bool
-	// closing is closed by Close, so that what waits to be written together is
-	// written at once: a process that ends has no time left for more lines.
+	// closing is closed by Close, so that pending lines are written at once: an
+	// exiting process has no time to collect more.
 	closing chan struct{}
 	done    chan struct{}
-	// collects is how long lines are waited for.
-	collects time.Duration
+	// flushDelay is how long lines are collected before a write.
+	flushDelay time.Duration
 }
 
-// New returns a writer to out with room for capacity bytes.
+// New returns a writer to out that buffers up to capacity bytes.
 func New(out io.Writer, capacity int) *Writer {
-	return start(out, capacity, flushEvery)
+	return start(out, capacity, flushInterval)
 }
 
-func start(out io.Writer, capacity int, collects time.Duration) *Writer {
-	w := &Writer{out: out, capacity: capacity, wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), collects: collects}
+func start(out io.Writer, capacity int, flushDelay time.Duration) *Writer {
+	w := &Writer{out: out, capacity: capacity, wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), flushDelay: flushDelay}
 	go w.run()
 	return w
 }
 
-// Write takes lines; it never fails.
+// Write buffers or drops p; it never fails.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	if w.pending.Len()+len(p) > w.capacity || w.closed {
@@ -64,15 +65,16 @@
 	return len(p), nil
 }
 
-// Dropped is how many writes were dropped and not yet told of.
+// Dropped returns the number of dropped writes that have not yet been reported
+// in the log.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Close writes what is pending; it waits at most for a moment, as the reader
-// may be gone.
+// Close writes pending lines. It waits for a bounded time, as the reader may be
+// gone.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if !w.closed {
@@ -86,7 +88,7 @@
 	}
 	select {
 	case <-w.done:
-	case <-time.After(2 * flushEvery):
+	case <-time.After(2 * flushInterval):
 	}
 	return nil
 }
@@ -96,12 +98,12 @@
 	var batch bytes.Buffer
 	for range w.wake {
 		select {
-		case <-time.After(w.collects):
+		case <-time.After(w.flushDelay):
 		case <-w.closing:
 		}
-		closed := w.swap(&batch)
+		closed := w.takePending(&batch)
 		if batch.Len() > 0 {
-			_, _ = w.out.Write(batch.Bytes()) // where log lines go is gone: there is nowhere to say so
+			_, _ = w.out.Write(batch.Bytes()) // the log output itself has failed, so there is nowhere to report it
 			batch.Reset()
 		}
 		if closed {
@@ -110,8 +112,9 @@
 	}
 }
 
-// swap takes what is pending, with a line on what was dropped.
-func (w *Writer) swap(batch *bytes.Buffer) (closed bool) {
+// takePending moves pending lines to batch, followed by a line with the number
+// dropped, if any.
+func (w *Writer) takePending(batch *bytes.Buffer) (closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	batch.Write(w.pending.Bytes())
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -12,26 +12,26 @@
 	"github.com/matryer/is"
 )
 
-type buffer struct {
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-func TestLinesComeOutInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	is := is.New(t)
-	out := &buffer{}
+	out := &syncBuffer{}
 	w := New(out, 1<<10)
 	want := ""
 	for i := range 20 {
@@ -44,27 +44,24 @@
 	is.Equal(out.String(), want)
 }
 
-// Symptom: the lines that explain the end of a process are missing.
-// Events: lines wait to be written together; the process ends, and is killed
-// before they have waited long enough.
-// Cause: closing did not end that wait.
-func TestClosingEndsTheWaitForMoreLines(t *testing.T) {
+// Guards against the loss of the last lines of a process: Close did not cut short
+// the collection of a batch, and the process was killed before it was written.
+func TestCloseFlushesPendingLinesImmediately(t *testing.T) {
 	is := is.New(t)
-	out := &buffer{}
+	out := &syncBuffer{}
 	w := start(out, 1<<10, time.Hour)
 	_, err := w.Write([]byte("last\n"))
 	is.NoErr(err)
-	for len(w.wake) > 0 { // until the line is taken up
+	for len(w.wake) > 0 { // until the writer goroutine has seen the line
 		time.Sleep(time.Millisecond)
 	}
 	is.NoErr(w.Close())
 	is.Equal(out.String(), "last\n")
 }
 
-// Symptom: requests stop because nobody reads the log.
-// Events: what reads standard output stops reading; lines keep coming.
-// Writing returns at once; what does not fit is dropped and counted.
-func TestAReaderThatStopsStopsNobody(t *testing.T) {
+// Guards against requests that block because the reader of standard output has
+// stopped: Write returns at once, and lines that do not fit are dropped and counted.
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	r, pipe := io.Pipe()
 	w := New(pipe, 1<<10)
@@ -74,7 +71,7 @@
 		is.NoErr(err)
 	}
 	is.True(w.Dropped() > 9_000)
-	var got buffer
+	var got syncBuffer
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = io.Copy(&got, r) }()
 	is.NoErr(w.Close())
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -1,5 +1,4 @@
-// Package background runs a daemon's long-lived loops from its start to its
-// stop.
+// Package background runs long-lived loops within a daemon's lifecycle.
 package background
 
 import (
@@ -9,7 +8,8 @@
 	"go.uber.org/fx"
 )
 
-// Run runs a loop from start until stop, then last, if it is not nil.
+// Run runs loop from start until stop. If last is not nil, it runs after the loop
+// has returned.
 func Run(lc fx.Lifecycle, loop, last func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -29,7 +29,7 @@
 	})
 }
 
-// Every is the loop that calls tick at each interval.
+// Every returns a loop that calls tick at each interval.
 func Every(interval time.Duration, tick func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		t := time.NewTicker(interval)
@@ -45,21 +45,21 @@
 	}
 }
 
-// Bounds of the last work of a planned stop.
+// Retry parameters of Persist.
 const (
-	// tryFor bounds one try: a connection that has gone silent is given up
-	// then, and the next try is on another. The platform answers in
-	// milliseconds.
-	tryFor = 2 * time.Second
-	// tryPause is between two tries, few enough for a service in trouble.
-	tryPause = 250 * time.Millisecond
+	// tryTimeout bounds one attempt: a connection that has gone silent is
+	// abandoned then, and the next attempt uses another. The platform answers
+	// in milliseconds.
+	tryTimeout = 2 * time.Second
+	// retryInterval is the pause between attempts, long enough not to overload a
+	// failing service.
+	retryInterval = 250 * time.Millisecond
 )
 
-// Persist calls try until it succeeds, and at the longest for limit. It is for
-// the last work of a planned stop: what fails then is lost with the process,
-// and a service that is away for a moment would be enough for that. The limit
-// keeps it from using up the time of what is to be done after it. It returns
-// the error of the last try.
+// Persist retries try until it succeeds or limit has passed, and returns the
+// error of the last attempt. It is for the final work of a planned stop, which
+// would be lost with the process if a service is briefly unavailable. The limit
+// leaves time for the shutdown steps that follow.
 func Persist(ctx context.Context, limit time.Duration, try func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -69,7 +69,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(tryPause):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return err
 		}
@@ -77,7 +77,7 @@
 }
 
 func tryOnce(ctx context.Context, try func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, tryFor)
+	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	return try(ctx)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs a process from its start to its planned stop.
+// Package daemon runs an application from start to graceful shutdown.
 package daemon
 
 import (
@@ -9,25 +9,25 @@
 	"go.uber.org/fx"
 )
 
-// Run starts app, waits for SIGINT or SIGTERM, and stops it. It returns the code
-// to exit with.
+// Run starts app, waits for SIGINT or SIGTERM, and stops it. It returns the exit
+// code.
 //
-// fx.App.Run listens for signals only once everything has started; until then
-// SIGTERM ends a process at once, and the requests that it serves by then get no
-// answer. Here it listens before anything starts: a process that is told to stop
-// while it starts comes up first, and then stops as planned.
+// fx.App.Run listens for signals only after everything has started; until then
+// SIGTERM kills the process at once, and requests that it is already serving get
+// no response. Run listens before anything starts, so a process that gets SIGTERM
+// during startup finishes starting and then shuts down gracefully.
 func Run(app *fx.App) (exitCode int) {
-	stop := app.Wait()
-	starting, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
+	signals := app.Wait()
+	startCtx, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
 	defer cancel()
-	if err := app.Start(starting); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		fmt.Fprintln(os.Stderr, "lovageweir: start:", err)
 		return 1
 	}
-	signal := <-stop
-	stopping, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
+	signal := <-signals
+	stopCtx, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancel()
-	if err := app.Stop(stopping); err != nil {
+	if err := app.Stop(stopCtx); err != nil {
 		fmt.Fprintln(os.Stderr, "lovageweir: stop:", err)
 		return 1
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,12 +10,11 @@
 	"go.uber.org/fx"
 )
 
-// Symptom: requests that were read get no answer as an entry starts.
-// Events: SIGTERM comes when callers are served already and not everything has
-// started.
-// Cause: nobody listened for signals yet, so that it ended the process at once.
-// A process that does so ends this test's.
-func TestSIGTERMWhileStartingIsAPlannedStop(t *testing.T) {
+// Guards against requests that are read and never answered while an entry starts:
+// SIGTERM arrives when it already serves callers but has not fully started. With no
+// signal handler installed yet, the signal killed the process; here it would kill
+// the test process.
+func TestSIGTERMDuringStartShutsDownGracefully(t *testing.T) {
 	is := is.New(t)
 	stopped := false
 	app := fx.New(fx.NopLogger, fx.Invoke(func(lc fx.Lifecycle) {
@@ -28,7 +27,7 @@
 	is.True(stopped)
 }
 
-func TestAStartThatFailsIsAFailure(t *testing.T) {
+func TestFailedStartExitsNonZero(t *testing.T) {
 	is := is.New(t)
 	app := fx.New(fx.NopLogger, fx.Invoke(func(lc fx.Lifecycle) {
 		lc.Append(fx.StartHook(func() error { return errors.New("no") }))
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen serves HTTP on an address, and ends without leaving a request
-// that it has read unanswered.
+// Package listen serves HTTP on an address and shuts down without dropping a
+// request that it has already read.
 package listen
 
 import (
@@ -13,32 +13,32 @@
 	"github.com/gravitational/trace"
 )
 
-// poll is how often a closing listener looks at its connections.
-const poll = 5 * time.Millisecond
+// pollInterval is how often a closing listener checks its connections.
+const pollInterval = 5 * time.Millisecond
 
-// Listener is one address and what is served there.
+// Listener serves one HTTP server on one address.
 type Listener struct {
 	name, address string
 	srv           *http.Server
 	ln            net.Listener
 
 	mu sync.Mutex
-	// busy are the connections on which a request may be under way: those that
-	// were just accepted, too.
+	// busy holds the connections on which a request may be in progress,
+	// including those just accepted.
 	busy map[net.Conn]bool
 }
 
-// New returns a listener that serves srv on address, host:port; the name is what
-// it is called in logs and errors, as the setting that gives the address. It
-// takes srv over.
+// New returns a listener that serves srv on address (host:port). The name, that
+// of the setting with the address, identifies it in logs and errors. The
+// listener takes ownership of srv.
 func New(name, address string, srv *http.Server) *Listener {
 	l := &Listener{name: name, address: address, srv: srv, busy: map[net.Conn]bool{}}
 	srv.ConnState = l.connState
 	return l
 }
 
-// Use makes the listener serve ln, which is open already. It is called before
-// Start.
+// Use makes the listener serve ln, which is already open. It must be called
+// before Start.
 func (l *Listener) Use(ln net.Listener) { l.ln = ln }
 
 // Start opens the address and serves in the background.
@@ -58,41 +58,41 @@
 	return nil
 }
 
-// Addr is the address that is served, once it is open.
+// Addr returns the address that is served. It must be called after Use or Start.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// CloseIdle closes connections on which nothing is under way, and makes each
-// answer from now on the last on its connection.
+// CloseIdle closes idle connections and disables keep-alives, so that each
+// further response is the last on its connection.
 func (l *Listener) CloseIdle() { l.srv.SetKeepAlivesEnabled(false) }
 
-// Close takes no more connections, and closes those that are there once nothing
-// is under way on them, at the latest after within. It returns how many were
-// closed with something under way.
+// Close stops accepting connections and closes existing ones as they become
+// idle, or after the timeout at the latest. It returns how many were closed while
+// still busy.
 //
-// http.Server.Shutdown is not used: once it has begun, the server reads requests
-// on connections that it has accepted, and closes these without an answer and
-// without asking any handler. Callers of what may run once only cannot tell that
-// it has not run.
-func (l *Listener) Close(within time.Duration) int {
-	_ = l.ln.Close() // nothing of it is used again
+// http.Server.Shutdown is not used: once it has begun, the server still reads
+// requests on accepted connections and closes these without calling a handler or
+// sending a response. The caller of a non-idempotent request then cannot tell
+// that it has not run.
+func (l *Listener) Close(timeout time.Duration) int {
+	_ = l.ln.Close() // not used again, whatever the result
 	l.CloseIdle()
-	latest := time.Now().Add(within)
-	for l.Busy() > 0 && time.Now().Before(latest) {
-		time.Sleep(poll)
+	deadline := time.Now().Add(timeout)
+	for l.Busy() > 0 && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 	}
-	left := l.Busy()
-	_ = l.srv.Close() // what is left is cut off: the process ends
-	return left
+	remaining := l.Busy()
+	_ = l.srv.Close() // cuts off the remaining connections, as the process exits
+	return remaining
 }
 
-// Busy is the number of connections on which a request may be under way.
+// Busy returns the number of connections on which a request may be in progress.
 func (l *Listener) Busy() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.busy)
 }
 
-// connState follows the connections' states, which net/http tells.
+// connState tracks connection states as reported by net/http.
 func (l *Listener) connState(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -12,15 +12,15 @@
 	"github.com/matryer/is"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// serve starts a listener whose handler refuses everything.
+// serve starts a listener whose handler answers every request with 503.
 func serve(t *testing.T) *Listener {
 	t.Helper()
 	l := New("test", "127.0.0.1:0", &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})})
-	if err := l.Start(quiet()); err != nil {
+	if err := l.Start(discardLogger()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.srv.Close() })
@@ -37,8 +37,7 @@
 	return conn
 }
 
-// until waits until cond holds.
-func until(cond func() bool) {
+func waitUntil(cond func() bool) {
 	for !cond() {
 		time.Sleep(time.Millisecond)
 	}
@@ -52,20 +51,18 @@
 	return err != nil
 }
 
-// Symptom: at the end of a planned stop a request is read and its connection
-// closes without an answer.
-// Events: a connection is accepted; the address is closed; the request arrives on
-// the connection before the process ends.
-// Cause: net/http drops what it has read once Shutdown has begun, before any
-// handler, so that nothing refuses it.
-func TestARequestReadWhileTheAddressClosesIsAnswered(t *testing.T) {
+// Guards against a request that is read at the end of a planned stop and gets no
+// response: it arrives on an accepted connection after the address was closed.
+// Once http.Server.Shutdown has begun, net/http drops such a request before any
+// handler could refuse it.
+func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	conn := dial(t, l)
-	until(func() bool { return l.Busy() == 1 })
+	waitUntil(func() bool { return l.Busy() == 1 })
 	closed := make(chan int)
 	go func() { closed <- l.Close(time.Minute) }()
-	until(func() bool { return refused(l) })
+	waitUntil(func() bool { return refused(l) })
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -75,19 +72,18 @@
 	is.Equal(<-closed, 0)
 }
 
-// A connection that sends nothing does not hold up the end for longer than it
-// may take.
-func TestASilentConnectionIsClosed(t *testing.T) {
+// A connection that sends nothing delays Close no longer than its timeout.
+func TestSilentConnectionIsClosedAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	dial(t, l)
-	until(func() bool { return l.Busy() == 1 })
+	waitUntil(func() bool { return l.Busy() == 1 })
 	is.Equal(l.Close(10*time.Millisecond), 1)
 	is.True(refused(l))
 }
 
-// Connections that callers keep do not hold it up at all.
-func TestKeptConnectionsAreClosedAtOnce(t *testing.T) {
+// Idle keep-alive connections do not delay Close.
+func TestIdleConnectionsAreClosedImmediately(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	conn := dial(t, l)
@@ -96,7 +92,7 @@
 	is.NoErr(err)
 	_, err = http.ReadResponse(in, nil)
 	is.NoErr(err)
-	until(func() bool { return l.Busy() == 0 })
+	waitUntil(func() bool { return l.Busy() == 0 })
 	is.Equal(l.Close(time.Minute), 0)
 	_, err = in.ReadByte()
 	is.Equal(err, io.EOF)
--- a/internal/rapidseed/seed.go
+++ b/internal/rapidseed/seed.go
@@ -1,7 +1,7 @@
 // Package rapidseed fixes the seed of property tests, so that every CI run
-// draws the same cases and gives the same verdict. Test files import it for
-// its effect. To explore, pass -rapid.seed=N (and -rapid.checks=N) to go
-// test: flags on the command line come after this and win.
+// draws the same cases and gives the same result. Test files import it for its
+// side effect. To try other cases, pass -rapid.seed=N (and -rapid.checks=N) to
+// go test: command-line flags are parsed later and take precedence.
 package rapidseed
 
 import (
@@ -10,7 +10,7 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed is any fixed number but 0, which means a random one.
+// seed may be any number except 0, which rapid takes as a random seed.
 const seed = "20261202"
 
 func init() {
--- a/internal/synth/synth.go
+++ b/internal/synth/synth.go
@@ -1,7 +1,7 @@
-// Package synth builds synthetic configuration documents of a chosen size,
-// for benchmarks and the load tool: so many customers, models, versions per
-// model, back ends and failure domains, named predictably. Addresses are on
-// loopback and are never dialled by benchmarks.
+// Package synth builds synthetic configuration documents of a given size for
+// benchmarks and the load tool, with predictable names of customers, models,
+// versions, back ends and failure domains. Addresses are on loopback and are
+// never dialled by benchmarks.
 package synth
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/lovageweir/lovageweir/config"
 )
 
-// Size says how large a document to build.
+// Size is the size of a document to build.
 type Size struct {
 	Customers        int
 	Models           int
@@ -21,9 +21,10 @@
 	Domains          int
 }
 
-// Target is the letter's target size: 3,600 engines over 13 failure
-// domains and 17 model versions (here 9 models, about 2 versions each). The
-// letter gives no customer count; 2,000 is our assumption, 200 times today's.
+// Target is the target size in the requirements: 3,600 engines over 13 failure
+// domains and 17 model versions (here 9 models with 2 versions each). The
+// requirements give no customer count; 2,000 is an assumption, 200 times the
+// number when it was made.
 var Target = Size{Customers: 2000, Models: 9, VersionsPerModel: 2, Backends: 3600, Domains: 13}
 
 // ModelName returns the name of model i.
@@ -32,12 +33,12 @@
 // VersionName returns the name of version j.
 func VersionName(j int) string { return fmt.Sprintf("v%d", j+1) }
 
-// APIKey returns customer i's first API key: random to a compressor, as real
-// keys are, and the same each run.
+// APIKey returns customer i's first API key. It is incompressible, as real keys
+// are, and the same in each run.
 func APIKey(i int) string { return apiKey(i, "a") }
 
-func apiKey(i int, which string) string {
-	sum := sha256.Sum256([]byte(fmt.Sprintf("%d-%s", i, which)))
+func apiKey(i int, suffix string) string {
+	sum := sha256.Sum256([]byte(fmt.Sprintf("%d-%s", i, suffix)))
 	return "key-" + hex.EncodeToString(sum[:16])
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry has a daemon's metrics: a tally scope and the handler that
-// serves what it counts.
+// Package telemetry provides a daemon's metrics: a tally scope and the HTTP
+// handler that exposes it.
 package telemetry
 
 import (
@@ -11,14 +11,14 @@
 	"go.uber.org/fx"
 )
 
-// Metrics are a daemon's counters and histograms.
+// Metrics holds a daemon's counters and histograms.
 type Metrics struct {
 	Scope   tally.Scope
-	Handler http.Handler // serves them as text
+	Handler http.Handler // serves the metrics in the Prometheus text format
 }
 
-// New returns metrics that reach their handler at each interval, until the
-// daemon stops.
+// New returns metrics that are reported to the handler at each interval until
+// the daemon stops.
 func New(lc fx.Lifecycle, interval time.Duration) *Metrics {
 	r := promreporter.NewReporter(promreporter.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{Prefix: "lovageweir", CachedReporter: r, Separator: promreporter.DefaultSeparator,
