--- a/cmd/lovagectl/main.go
+++ b/cmd/lovagectl/main.go
@@ -1,5 +1,6 @@
-// Command lovagectl is the operators' and bench tool: apply configuration,
-// read status, run stand-ins for outside systems, and drive load.
+// Command lovagectl is the tool for operators and benchmarks: it applies
+// configuration, reads status, runs stand-ins for external systems and generates
+// load.
 package main
 
 import (
--- a/cmd/lovageweir/main.go
+++ b/cmd/lovageweir/main.go
@@ -1,5 +1,5 @@
 // Command lovageweir is the entry daemon. `lovageweir edge` runs an entry on
-// the users' platform; `lovageweir entry`, the default, one in front of
+// the users' platform. `lovageweir entry`, the default, runs one in front of
 // OpenAI-compatible engines, configured through an etcd-compatible store.
 package main
 
@@ -18,57 +18,57 @@
 	"github.com/lovageweir/lovageweir/settings"
 )
 
-// gcPercent trades processor time, of which an entry uses little, for memory,
-// of which its instance has little: a configuration change makes garbage ten
-// times its size, and at Go's default of 100 an entry peaked at 61 MB of its
-// 64 (docs/CAPACITY.md). GOGC in the environment goes first.
+// gcPercent trades CPU time, of which an entry uses little, for memory, of which
+// its instance has little: a configuration change produces garbage ten times its
+// size, and at Go's default of 100 an entry peaked at 61 MB of its 64
+// (docs/CAPACITY.md). GOGC in the environment takes precedence.
 const gcPercent = 50
 
-// A process that starts does so because another has ended, and callers are
-// refused connections until it listens. At gcPercent it collects twice before
-// that, a quarter of the processor time of its start; at startGCPercent it does
-// not. startMemory keeps a large configuration, read meanwhile, from making the
-// heap three times its size: near it the collector runs whatever the percentage.
-// settled is when the process has started and read its configuration.
+// A process usually starts because another has ended, and callers are refused
+// connections until it listens. At gcPercent it would collect twice before that, a
+// quarter of the CPU time of its start; at startGCPercent it does not collect.
+// startMemoryLimit keeps a large configuration that is read meanwhile from growing
+// the heap to three times its size: near the limit the collector runs whatever the
+// percentage. After startPeriod the process has started and read its configuration.
 const (
-	startGCPercent = 200
-	startMemory    = 40 << 20
-	settled        = 2 * time.Second
+	startGCPercent   = 200
+	startMemoryLimit = 40 << 20
+	startPeriod      = 2 * time.Second
 )
 
 func main() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(startGCPercent)
-		unlimited := debug.SetMemoryLimit(startMemory)
-		time.AfterFunc(settled, func() {
+		previousLimit := debug.SetMemoryLimit(startMemoryLimit)
+		time.AfterFunc(startPeriod, func() {
 			debug.SetGCPercent(gcPercent)
-			debug.SetMemoryLimit(unlimited)
+			debug.SetMemoryLimit(previousLimit)
 		})
 	}
 	app := kingpin.New("lovageweir", "Model-aware router: the entry daemon.")
-	entry := app.Command("entry", "Serve the OpenAI interface.").Default()
-	entryPath := entry.Flag("config", "Settings file (YAML).").Short('c').Required().ExistingFile()
-	onPlatform := app.Command("edge", "Serve on the users' platform.")
-	edgePath := onPlatform.Flag("settings", "Settings file (YAML).").Short('s').Required().ExistingFile()
+	entryCmd := app.Command("entry", "Serve the OpenAI interface.").Default()
+	entryPath := entryCmd.Flag("config", "Settings file (YAML).").Short('c').Required().ExistingFile()
+	edgeCmd := app.Command("edge", "Serve on the users' platform.")
+	edgePath := edgeCmd.Flag("settings", "Settings file (YAML).").Short('s').Required().ExistingFile()
 	var module fx.Option
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
-	case entry.FullCommand():
+	case entryCmd.FullCommand():
 		set, err := settings.Load(*entryPath)
-		exitOn("settings", err)
+		exitOnError("settings", err)
 		module = agent.Module(set)
-	case onPlatform.FullCommand():
+	case edgeCmd.FullCommand():
 		set, err := edge.Load(*edgePath)
-		exitOn("settings", err)
+		exitOnError("settings", err)
 		callers, err := edge.OpenCallers(set)
-		exitOn("start", err)
+		exitOnError("start", err)
 		module = edge.Module(edge.Options{Settings: set, Path: *edgePath, Callers: callers})
 	}
 	os.Exit(daemon.Run(fx.New(module)))
 }
 
-func exitOn(doing string, err error) {
+func exitOnError(step string, err error) {
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "lovageweir: %s: %v\n", doing, err)
+		fmt.Fprintf(os.Stderr, "lovageweir: %s: %v\n", step, err)
 		os.Exit(2)
 	}
 }
