--- a/command/apply/apply.go
+++ b/command/apply/apply.go
@@ -1,11 +1,11 @@
-// Package apply is `lovagectl apply DIR`: merge a configuration folder,
-// validate it, and write it to the platform KV with compare-and-swap on the
-// revision it was based on.
+// Package apply implements `lovagectl apply DIR`: it merges and validates a
+// configuration folder and writes it to the platform KV with a compare-and-swap
+// on the revision it was based on.
 //
-// A lost acknowledgement (the KV applied the write but the answer never
-// came) is the dangerous case: writing again could apply twice or, worse,
-// overwrite another operator's newer change. So after an unknown outcome the
-// command re-reads the key and recognises its own write by its apply id.
+// If the KV applies the write but its acknowledgement is lost, writing again could
+// apply the change twice or overwrite another operator's newer one. After an
+// unknown outcome the command therefore reads the key again and recognises its own
+// write by the apply id.
 package apply
 
 import (
@@ -24,20 +24,21 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-// maxAttempts bounds re-reads after unknown outcomes.
+// maxAttempts bounds the attempts to write, each of which may end in an unknown
+// outcome.
 const maxAttempts = 5
 
-// Result says what an apply did.
+// Result is the outcome of an apply.
 type Result struct {
 	Revision kv.Revision
 	ApplyID  string
-	// Recovered is true when the write's answer was lost and the re-read
-	// found it had taken effect.
+	// Recovered reports that the acknowledgement was lost, and that the write was
+	// found to be in force afterwards.
 	Recovered bool
 }
 
-// ErrConflict means another operator changed the configuration since it was
-// read; the operator must look at the newer one before applying again.
+// ErrConflict reports that the configuration was changed since it was read; the
+// operator must review the newer one before applying again.
 var ErrConflict = trace.CompareFailed("config: changed by someone else since it was read")
 
 // Register adds the subcommand to app.
@@ -73,8 +74,8 @@
 	return hex.EncodeToString(b)
 }
 
-// Apply writes doc if the stored configuration is still at base (0: take the
-// current revision as base). It is safe against lost acknowledgements.
+// Apply writes doc if the stored configuration is still at revision base; base 0
+// stands for the current revision. It is safe against lost acknowledgements.
 func Apply(ctx context.Context, c kv.KV, doc *config.Document, base kv.Revision, by string) (Result, error) {
 	env := config.Envelope{ApplyID: newApplyID(), AppliedBy: by, AppliedAt: time.Now().UTC(), Document: *doc}
 	val, err := env.Marshal()
@@ -99,12 +100,12 @@
 			}
 			return Result{}, ErrConflict
 		}
-		// Unknown outcome: re-read before anything else.
-		got, rerr := current(ctx, c)
-		if rerr == nil && isOurs(got.Value, env.ApplyID) {
+		// The outcome is unknown: read the key before writing again.
+		got, readErr := current(ctx, c)
+		if readErr == nil && isOurs(got.Value, env.ApplyID) {
 			return Result{Revision: got.ModRevision, ApplyID: env.ApplyID, Recovered: true}, nil
 		}
-		if rerr == nil && got.ModRevision != base {
+		if readErr == nil && got.ModRevision != base {
 			return Result{}, ErrConflict
 		}
 		select {
--- a/command/apply/apply_test.go
+++ b/command/apply/apply_test.go
@@ -16,50 +16,48 @@
 	"github.com/lovageweir/lovageweir/standin/kvserver"
 )
 
-func standin(t *testing.T) (*kvserver.Server, *etcdv3.Client) {
+func newKV(t *testing.T) (*kvserver.Server, *etcdv3.Client) {
 	srv := kvserver.New(clockwork.NewFakeClock())
-	hs := httptest.NewServer(srv.Handler())
-	t.Cleanup(hs.Close)
-	return srv, etcdv3.New(hs.URL, nil)
+	httpSrv := httptest.NewServer(srv.Handler())
+	t.Cleanup(httpSrv.Close)
+	return srv, etcdv3.New(httpSrv.URL, nil)
 }
 
 func doc(customers int) *config.Document {
 	return synth.Document(synth.Size{Customers: customers, Models: 1, VersionsPerModel: 1, Backends: 1, Domains: 1})
 }
 
-// TestLostAckIsRecognised: symptom: an operator's change is applied twice,
-// or the operator is told it failed when it is in force. Sequence: apply
-// sends the compare-and-swap; the KV applies it and the answer is lost.
-// Cause, in a client that retries blindly: the retry's compare fails
-// (the revision moved, by our own write) and is reported as a conflict, or
-// an unconditional put writes again. Here the re-read finds our apply id.
+// Guards against a change that is applied twice, or reported as failed while it is
+// in force, when the KV applies the compare-and-swap and its acknowledgement is
+// lost. A blind retry would be reported as a conflict, as the command's own write
+// moved the revision, and an unconditional put would write again. Reading the key
+// again finds the command's own apply id.
 func TestLostAckIsRecognised(t *testing.T) {
 	is := is.New(t)
-	srv, c := standin(t)
+	srv, c := newKV(t)
 	ctx := context.Background()
-	// Every write lands and every write's answer is lost; reads still work.
+	// Every write is applied but its acknowledgement is lost; reads still work.
 	srv.SetFaults(kvserver.Faults{DropAcks: true})
 	res, err := Apply(ctx, c, doc(1), 0, "op")
 	is.NoErr(err)
 	is.True(res.Recovered)
-	is.Equal(res.Revision, kv.Revision(1))           // our write is in force
+	is.Equal(res.Revision, kv.Revision(1))           // the write is in force
 	is.Equal(srv.Store().Revision(), kv.Revision(1)) // one write, not two
 }
 
-// TestRacingOperatorsDoNotOverwrite: symptom: one operator's accepted
-// change silently disappears. Sequence: two operators read revision R and
-// both apply. Cause, with a plain put: the later write overwrites the
-// earlier one unseen. Here each write is a compare-and-swap on R, so
-// exactly one wins and the other is told to look at the newer one.
+// Guards against an accepted change that is silently lost when two operators read
+// revision R and both apply. With a plain put the later write would overwrite the
+// earlier one unnoticed. With a compare-and-swap on R exactly one succeeds, and the
+// other gets ErrConflict.
 func TestRacingOperatorsDoNotOverwrite(t *testing.T) {
 	is := is.New(t)
-	srv, c := standin(t)
+	srv, c := newKV(t)
 	ctx := context.Background()
 	first, err := Apply(ctx, c, doc(1), 0, "setup")
 	is.NoErr(err)
 	_, err = Apply(ctx, c, doc(2), first.Revision, "alice")
 	is.NoErr(err)
-	_, err = Apply(ctx, c, doc(3), first.Revision, "bob") // based on the same, now old, revision
+	_, err = Apply(ctx, c, doc(3), first.Revision, "bob") // based on the same revision, which is now stale
 	is.True(errors.Is(err, ErrConflict))
 	_, kvs, err := c.Get(ctx, config.Key, false)
 	is.NoErr(err)
--- a/command/diff/diff.go
+++ b/command/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff is `lovagectl diff DIR`: what applying a configuration folder
-// would change, path by path, against the configuration in the platform KV.
+// Package diff implements `lovagectl diff DIR`: it lists by path what applying a
+// configuration folder would change in the platform KV.
 package diff
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/lovageweir/lovageweir/kv"
 )
 
-const callWait = 10 * time.Second
+const readTimeout = 10 * time.Second
 
 // Register adds the subcommand to app.
 func Register(app *kingpin.Application) {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), callWait)
+		ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 		defer cancel()
 		rev, cur, err := Stored(ctx, client())
 		if err != nil {
@@ -48,8 +48,8 @@
 	})
 }
 
-// Stored reads the configuration in the KV; revision 0 and an empty document
-// when there is none.
+// Stored reads the configuration in the KV. Without one it returns revision 0 and
+// an empty document.
 func Stored(ctx context.Context, c kv.KV) (kv.Revision, *config.Document, error) {
 	_, kvs, err := c.Get(ctx, config.Key, false)
 	if err != nil || len(kvs) == 0 {
@@ -59,8 +59,8 @@
 	return kvs[0].ModRevision, &env.Document, trace.Wrap(err)
 }
 
-// Lines lists the differences from cur to next by path, sorted: "+" added,
-// "-" removed, "~" changed.
+// Lines lists the differences from cur to next, sorted by path: "+" added, "-"
+// removed, "~" changed.
 func Lines(cur, next *config.Document) ([]string, error) {
 	a, err := flatten(cur)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return out, nil
 }
 
-// flatten maps each path of the document to its value as JSON.
+// flatten maps the path of each leaf of the document to its value as JSON.
 func flatten(d *config.Document) (map[string]string, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -106,7 +106,7 @@
 func walk(out map[string]string, path string, v any) {
 	m, ok := v.(map[string]any)
 	if !ok {
-		b, _ := json.Marshal(v) // it came from JSON: it cannot fail
+		b, _ := json.Marshal(v) // cannot fail: v was decoded from JSON
 		out[path] = string(b)
 		return
 	}
--- a/command/diff/diff_test.go
+++ b/command/diff/diff_test.go
@@ -8,7 +8,7 @@
 	"github.com/lovageweir/lovageweir/config"
 )
 
-func TestLinesNameEveryChangeByPath(t *testing.T) {
+func TestLinesListEveryChangeByPath(t *testing.T) {
 	is := is.New(t)
 	model := func(weights map[string]int) *config.Document {
 		m := config.Model{Versions: map[string]config.Version{}}
--- a/command/doc.go
+++ b/command/doc.go
@@ -1,3 +1,3 @@
-// Package command holds one sub-package per lovagectl subcommand. Each
-// registers its flags on a kingpin application and runs on its own.
+// Package command has one subpackage per lovagectl subcommand. Each registers its
+// flags and its action on a kingpin application.
 package command
--- a/command/dump/dump.go
+++ b/command/dump/dump.go
@@ -1,5 +1,5 @@
-// Package dump is `lovagectl dump`: the state dump of entries (and, by URL,
-// of any stand-in).
+// Package dump implements `lovagectl dump`: it prints the state dump of entries
+// and stand-ins, given by URL.
 package dump
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/gravitational/trace"
 )
 
-const callWait = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
 // Register adds the subcommand to app.
 func Register(app *kingpin.Application) {
 	cmd := app.Command("dump", "Print the state dump of processes.")
 	urls := cmd.Flag("entry", "Base URL of an entry or stand-in (repeat).").Required().Strings()
 	cmd.Action(func(*kingpin.ParseContext) error {
-		hc := &http.Client{Timeout: callWait}
+		hc := &http.Client{Timeout: requestTimeout}
 		failed := 0
 		for _, u := range *urls {
 			fmt.Printf("== %s\n", u)
-			if err := one(hc, strings.TrimSuffix(u, "/")+"/debug/state"); err != nil {
+			if err := dumpState(hc, strings.TrimSuffix(u, "/")+"/debug/state"); err != nil {
 				failed++
 				fmt.Fprintf(os.Stderr, "lovagectl: dump: %v\n", err)
 			}
 		}
 		if failed > 0 {
-			return trace.ConnectionProblem(nil, "%d of %d processes gave no dump", failed, len(*urls))
+			return trace.ConnectionProblem(nil, "no state dump from %d of %d processes", failed, len(*urls))
 		}
 		return nil
 	})
 }
 
-func one(hc *http.Client, url string) error {
+func dumpState(hc *http.Client, url string) error {
 	resp, err := hc.Get(url)
 	if err != nil {
 		return trace.Wrap(err)
--- a/command/explain/explain.go
+++ b/command/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain is `lovagectl explain ID`: a request's story, from the
-// entries' logs.
+// Package explain implements `lovagectl explain ID`: it reports what happened to a
+// request, from the entries' logs.
 package explain
 
 import (
@@ -16,9 +16,9 @@
 	"github.com/gravitational/trace"
 )
 
-// around is how long before a request's end the beliefs of its entry are
-// told with it: what changed in that time may be its cause.
-const around = 10 * time.Second
+// eventWindow is how long before a request's end log lines of its entry are listed
+// with it: a change in that time may be the cause of the outcome.
+const eventWindow = 10 * time.Second
 
 // Register adds the subcommand to app.
 func Register(app *kingpin.Application) {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		return Tell(os.Stdout, lines, *id)
+		return Explain(os.Stdout, lines, *id)
 	})
 }
 
@@ -63,15 +63,15 @@
 	return all, nil
 }
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log. What is no line of an entry's is passed
-// over; something may stand before the line itself, as a collector's prefix.
+// Read parses the lines of a log. Lines that no entry wrote are skipped; a line may
+// have a prefix, such as a log collector's.
 func Read(r io.Reader) ([]line, error) {
 	var out []line
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		text := lines.Text()
 		start := strings.Index(text, `{"time":`)
@@ -93,18 +93,18 @@
 	l.instance, _ = l.fields["instance"].(string)
 	l.level, _ = l.fields["level"].(string)
 	l.msg, _ = l.fields["msg"].(string)
-	stamp, _ := l.fields["time"].(string)
-	at, err := time.Parse(time.RFC3339Nano, stamp)
+	timestamp, _ := l.fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timestamp)
 	l.at = at
-	for _, known := range []string{"time", "level", "msg", "instance"} {
-		delete(l.fields, known)
+	for _, name := range []string{"time", "level", "msg", "instance"} {
+		delete(l.fields, name)
 	}
 	return l, err == nil
 }
 
-// Tell writes the story of a request: what each entry that had it says, and
-// what that entry learned or lost in the time before.
-func Tell(w io.Writer, lines []line, id string) error {
+// Explain writes what happened to a request: the line of each entry that handled
+// it, and the other lines of that entry within eventWindow before.
+func Explain(w io.Writer, lines []line, id string) error {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at.Before(lines[j].at) })
 	found := false
 	for i, l := range lines {
@@ -112,8 +112,8 @@
 			continue
 		}
 		found = true
-		tellRequest(w, l)
-		tellBeliefs(w, lines[:i], l)
+		writeRequest(w, l)
+		writeEvents(w, lines[:i], l)
 	}
 	if !found {
 		return trace.NotFound("no line of request %q: it reached none of these entries, or its line was dropped (look for \"lines dropped\")", id)
@@ -121,9 +121,9 @@
 	return nil
 }
 
-func tellRequest(w io.Writer, l line) {
+func writeRequest(w io.Writer, l line) {
 	f := l.fields
-	took := time.Duration(number(f["ms"])) * time.Millisecond
+	took := time.Duration(toInt64(f["ms"])) * time.Millisecond
 	fmt.Fprintf(w, "request %v at %s: %v, status %v\n", f["id"], l.instance, f["outcome"], f["status"])
 	fmt.Fprintf(w, "  came  %s, ended after %v of %v ms allowed\n", l.at.Add(-took).Format("15:04:05.000"), took, orUnknown(f["allowed_ms"]))
 	fmt.Fprintf(w, "  knew  configuration %v, store revision %v, known to be current %v ms before\n", orUnknown(f["config"]), f["revision"], orUnknown(f["age_ms"]))
@@ -138,11 +138,11 @@
 	}
 }
 
-// tellBeliefs writes what an entry's beliefs went through before a request
-// ended.
-func tellBeliefs(w io.Writer, before []line, request line) {
+// writeEvents writes the lines that the entry of a request logged within
+// eventWindow before the request ended.
+func writeEvents(w io.Writer, before []line, request line) {
 	for _, l := range before {
-		if l.instance != request.instance || request.at.Sub(l.at) > around || strings.HasPrefix(l.msg, "ingress: request") {
+		if l.instance != request.instance || request.at.Sub(l.at) > eventWindow || strings.HasPrefix(l.msg, "ingress: request") {
 			continue
 		}
 		fmt.Fprintf(w, "  %+.3fs %s %s%s\n", l.at.Sub(request.at).Seconds(), l.level, l.msg, fields(l.fields))
@@ -162,7 +162,7 @@
 	return b.String()
 }
 
-func number(v any) int64 {
+func toInt64(v any) int64 {
 	n, _ := v.(float64)
 	return int64(n)
 }
--- a/command/explain/explain_test.go
+++ b/command/explain/explain_test.go
@@ -14,12 +14,12 @@
 {"time":"2026-01-02T10:00:01Z","level":"INFO","msg":"ingress: request ended.","instance":"i1","id":"abc1","status":502,"outcome":"endpoint_broke_off","ms":400,"revision":7,"age_ms":12,"config":3,"route":"r","allowed_ms":800,"customer":"c","sends":"e1 v1 at=0ms first=0ms status=0 broken (EOF); e2 v1 at=5ms first=0ms status=503 refused (endpoint refused)"}
 `
 
-func TestARequestsStory(t *testing.T) {
+func TestExplainReportsRequestAndPrecedingEvents(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(log))
 	is.NoErr(err)
 	var out strings.Builder
-	is.NoErr(Tell(&out, lines, "abc"))
+	is.NoErr(Explain(&out, lines, "abc"))
 	for _, want := range []string{"request abc1 at i1: endpoint_broke_off, status 502", "came  10:00:00.600", "ended after 400ms of 800 ms allowed",
 		"configuration 3, store revision 7", "sent  e1 v1 at=0ms", "sent  e2 v1 at=5ms", "-0.500s INFO fleet: endpoint gone. endpoint=e1"} {
 		if !strings.Contains(out.String(), want) {
@@ -27,14 +27,14 @@
 		}
 	}
 	is.True(!strings.Contains(out.String(), "long ago"))
-	is.True(!strings.Contains(out.String(), "mesh")) // another entry's
+	is.True(!strings.Contains(out.String(), "mesh")) // logged by another entry
 }
 
-func TestAnUnknownRequestIsToldSo(t *testing.T) {
+func TestUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(log))
 	is.NoErr(err)
-	err = Tell(&strings.Builder{}, lines, "zzz")
+	err = Explain(&strings.Builder{}, lines, "zzz")
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "zzz"))
 }
--- a/command/load/load.go
+++ b/command/load/load.go
@@ -1,8 +1,8 @@
-// Package load is `lovagectl load`: bounded open-loop load against one or
-// more entries. Requests start on a fixed schedule whatever the answers do
-// (open loop, so a slow entry cannot hide its own latency), the run stops
-// after --duration or --max requests, and the tool prints time to first
-// token, time between tokens and outcomes as HDR histograms.
+// Package load implements `lovagectl load`: bounded open-loop load against one or
+// more entries. Requests start on a fixed schedule whether or not earlier ones have
+// been answered, so that a slow entry cannot hide its latency. A run stops after
+// --duration or --max requests and prints the outcomes and percentiles, from HDR
+// histograms, of the time to first token, between tokens and in total.
 package load
 
 import (
@@ -32,23 +32,23 @@
 	Stream   bool
 }
 
-// Mix is one kind of request and its share.
+// Mix is one kind of request and its relative weight.
 type Mix struct {
 	APIKey string
 	Model  string
 	Weight int
 }
 
-// Report is what a run measured, in microseconds.
+// Report holds the measurements of a run; histograms are in microseconds.
 type Report struct {
-	Sent       int
-	Outcomes   map[string]int
-	FirstToken *hdrhistogram.Histogram
-	Between    *hdrhistogram.Histogram
-	Total      *hdrhistogram.Histogram
+	Sent          int
+	Outcomes      map[string]int
+	FirstToken    *hdrhistogram.Histogram
+	BetweenTokens *hdrhistogram.Histogram
+	Total         *hdrhistogram.Histogram
 }
 
-// maxLatencyMicros bounds the histograms: one minute.
+// maxLatencyMicros is the upper bound of the histograms: one minute.
 const maxLatencyMicros = 60_000_000
 
 // Register adds the subcommand to app.
@@ -81,13 +81,13 @@
 	})
 }
 
-// Run drives the load and waits for every request to finish.
+// Run sends the requests and waits for all of them to finish.
 func Run(ctx context.Context, s Settings) *Report {
 	rep := &Report{
-		Outcomes:   map[string]int{},
-		FirstToken: hdrhistogram.New(1, maxLatencyMicros, 3),
-		Between:    hdrhistogram.New(1, maxLatencyMicros, 3),
-		Total:      hdrhistogram.New(1, maxLatencyMicros, 3),
+		Outcomes:      map[string]int{},
+		FirstToken:    hdrhistogram.New(1, maxLatencyMicros, 3),
+		BetweenTokens: hdrhistogram.New(1, maxLatencyMicros, 3),
+		Total:         hdrhistogram.New(1, maxLatencyMicros, 3),
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -106,7 +106,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r := one(ctx, client, entry, m, s, i)
+			r := sendRequest(ctx, client, entry, m, s, i)
 			mu.Lock()
 			defer mu.Unlock()
 			rep.add(r)
@@ -123,22 +123,22 @@
 }
 
 func pick(mix []Mix, total, i int) Mix {
-	// A fixed spread, not random: the same run sends the same requests.
-	p := (i * 7919) % total
+	// Deterministic rather than random, so that repeated runs send the same requests.
+	offset := (i * 7919) % total
 	for _, m := range mix {
-		if p < m.Weight {
+		if offset < m.Weight {
 			return m
 		}
-		p -= m.Weight
+		offset -= m.Weight
 	}
 	return mix[len(mix)-1]
 }
 
 type result struct {
-	outcome string
-	first   time.Duration
-	between []time.Duration
-	total   time.Duration
+	outcome       string
+	firstToken    time.Duration
+	betweenTokens []time.Duration
+	total         time.Duration
 }
 
 func (rep *Report) add(r result) {
@@ -146,14 +146,14 @@
 	if r.outcome != "ok" {
 		return
 	}
-	_ = rep.FirstToken.RecordValue(r.first.Microseconds())
+	_ = rep.FirstToken.RecordValue(r.firstToken.Microseconds())
 	_ = rep.Total.RecordValue(r.total.Microseconds())
-	for _, d := range r.between {
-		_ = rep.Between.RecordValue(d.Microseconds())
+	for _, d := range r.betweenTokens {
+		_ = rep.BetweenTokens.RecordValue(d.Microseconds())
 	}
 }
 
-func one(ctx context.Context, c *http.Client, entry string, m Mix, s Settings, i int) result {
+func sendRequest(ctx context.Context, c *http.Client, entry string, m Mix, s Settings, i int) result {
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"load %d"}]}`, m.Model, s.Stream, s.Tokens, i%50)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, entry+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -175,7 +175,7 @@
 	if !s.Stream {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		r.total = time.Since(start)
-		r.first = r.total
+		r.firstToken = r.total
 		return r
 	}
 	sc := bufio.NewScanner(resp.Body)
@@ -194,10 +194,10 @@
 		if strings.Contains(line, `"error"`) {
 			return result{outcome: "stream_error"}
 		}
-		if r.first == 0 {
-			r.first = now.Sub(start)
+		if r.firstToken == 0 {
+			r.firstToken = now.Sub(start)
 		} else {
-			r.between = append(r.between, now.Sub(last))
+			r.betweenTokens = append(r.betweenTokens, now.Sub(last))
 		}
 		last = now
 	}
@@ -222,10 +222,10 @@
 	for _, h := range []struct {
 		name string
 		h    *hdrhistogram.Histogram
-	}{{"first token", rep.FirstToken}, {"between tokens", rep.Between}, {"total", rep.Total}} {
+	}{{"first token", rep.FirstToken}, {"between tokens", rep.BetweenTokens}, {"total", rep.Total}} {
 		fmt.Printf("  %-15s p50=%s p95=%s p99=%s max=%s (n=%d)\n", h.name,
-			us(h.h.ValueAtQuantile(50)), us(h.h.ValueAtQuantile(95)), us(h.h.ValueAtQuantile(99)), us(h.h.Max()), h.h.TotalCount())
+			formatMicros(h.h.ValueAtQuantile(50)), formatMicros(h.h.ValueAtQuantile(95)), formatMicros(h.h.ValueAtQuantile(99)), formatMicros(h.h.Max()), h.h.TotalCount())
 	}
 }
 
-func us(v int64) string { return (time.Duration(v) * time.Microsecond).String() }
+func formatMicros(v int64) string { return (time.Duration(v) * time.Microsecond).String() }
--- a/command/soak/soak.go
+++ b/command/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak is `lovagectl soak`: random faults against real processes on
-// this machine.
+// Package soak implements `lovagectl soak`: it injects random faults into real
+// processes on this machine.
 package soak
 
 import (
@@ -20,13 +20,13 @@
 	var o soak.Options
 	cmd.Flag("seed", "First seed.").Default("1").Uint64Var(&o.Seed)
 	seeds := cmd.Flag("seeds", "How many seeds, one after another.").Default("1").Int()
-	cmd.Flag("for", "How long faults are played, each seed.").Default("10s").DurationVar(&o.For)
+	cmd.Flag("for", "How long faults are played, each seed.").Default("10s").DurationVar(&o.FaultDuration)
 	cmd.Flag("entries", "Entry processes.").Default("3").IntVar(&o.Entries)
 	cmd.Flag("engines", "Engine processes at the start.").Default("4").IntVar(&o.Engines)
 	cmd.Flag("callers", "Callers, each with connections of its own.").Default("24").IntVar(&o.Callers)
 	cmd.Flag("series", "Stop entries in series that overlap, instead of single faults of every kind on them.").BoolVar(&o.Series)
 	cmd.Flag("fragile", "Send a request that crashes the engines that run it, to engines of which one names a limit.").BoolVar(&o.Fragile)
-	cmd.Flag("edge", "The lovageweir program; default: beside this one.").StringVar(&o.Edge)
+	cmd.Flag("edge", "The lovageweir program; default: beside this one.").StringVar(&o.EdgePath)
 	logs := cmd.Flag("logs", "Where logs of seeds that failed are kept.").Default(os.TempDir()).String()
 	cmd.Action(func(*kingpin.ParseContext) error { return run(o, *seeds, *logs) })
 }
@@ -36,13 +36,13 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	o.Ctl = self
-	if o.Edge == "" {
-		o.Edge = filepath.Join(filepath.Dir(self), "lovageweir")
+	o.CtlPath = self
+	if o.EdgePath == "" {
+		o.EdgePath = filepath.Join(filepath.Dir(self), "lovageweir")
 	}
 	failed := 0
 	for range seeds {
-		if err := one(o, logs, &failed); err != nil {
+		if err := runSeed(o, logs, &failed); err != nil {
 			return err
 		}
 		o.Seed++
@@ -53,18 +53,18 @@
 	return nil
 }
 
-func one(o soak.Options, logs string, failed *int) error {
+func runSeed(o soak.Options, logs string, failed *int) error {
 	dir, err := os.MkdirTemp(logs, fmt.Sprintf("soak-%d-", o.Seed))
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	o.Dir = dir
-	begun := time.Now()
+	started := time.Now()
 	r, err := soak.Run(o)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	fmt.Printf("seed %d: %d requests, %d faults, %d planned stops, %d engines crashed, %d findings, %v\n", r.Seed, r.Requests, len(r.Faults), r.Stops, r.Crashes, len(r.Findings), time.Since(begun).Round(time.Second))
+	fmt.Printf("seed %d: %d requests, %d faults, %d planned stops, %d engines crashed, %d findings, %v\n", r.Seed, r.Requests, len(r.Faults), r.Stops, r.Crashes, len(r.Findings), time.Since(started).Round(time.Second))
 	if !r.Failed() {
 		return trace.ConvertSystemError(os.RemoveAll(dir))
 	}
--- a/command/standin/platform.go
+++ b/command/standin/platform.go
@@ -26,7 +26,7 @@
 }
 
 func registerPlatformStore(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "platform-store", "The users' platform's store.")
+	cmd, address := subcommand(parent, "platform-store", "The users' platform's store.")
 	endpoints := cmd.Flag("endpoints", "Registrations of endpoints to begin with, none of which answers.").Default("0").Int()
 	domains := cmd.Flag("domains", "Failure domains that these are in.").Default("4").Int()
 	customers := cmd.Flag("customers", "Customers of a configuration to begin with; 0: none.").Default("0").Int()
@@ -39,7 +39,7 @@
 	})
 }
 
-// populate fills a store for measurements at size.
+// populate fills a store for measurements at a given size.
 func populate(store *memkv.Store, endpoints, domains, customers int) error {
 	ctx := context.Background()
 	for i := range endpoints {
@@ -57,8 +57,8 @@
 	return err
 }
 
-// synthServices is how many services the endpoints of a filled store are of:
-// the models and versions of the two-year size.
+// synthServices is the number of services in a populated store: the models and versions
+// at the size expected in two years.
 const synthServices = 17
 
 func synthConfig(customers int) *fleet.Config {
@@ -75,28 +75,28 @@
 	return c
 }
 
-// Registration of an engine stand-in.
+// Registration of an engine stand-in in the store.
 const (
-	registrationLife  = 3 * time.Second
-	registrationEvery = time.Second
+	registrationTTL      = 3 * time.Second
+	registrationInterval = time.Second
 )
 
-// crashStatus is what a process that crashes ends with.
-const crashStatus = 3
+// crashExitCode is the exit code of an engine that crashes.
+const crashExitCode = 3
 
 type platformEngine struct {
 	config    platformtest.EngineConfig
 	advertise string
 	store     string
 	faults    float64
-	crashOn   string  // a body that ends the process
-	limit     float64 // requests a second that it names; 0: none
-	// servesOn is how long it still serves after it has announced that it leaves.
-	servesOn time.Duration
+	crashOn   string  // body of a request that ends the process; "": none
+	limit     float64 // requests a second that it reports as its limit; 0: none
+	// drainTime is how long it keeps serving after it has announced that it leaves.
+	drainTime time.Duration
 }
 
 func registerPlatformEngine(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "platform-engine", "An engine of the users' platform; it prints a line for each run.")
+	cmd, address := subcommand(parent, "platform-engine", "An engine of the users' platform; it prints a line for each run.")
 	e := &platformEngine{}
 	cmd.Flag("id", "Its incarnation.").Required().StringVar(&e.config.ID)
 	cmd.Flag("advertise", "Where it is reached, if not where it listens.").StringVar(&e.advertise)
@@ -111,7 +111,7 @@
 	cmd.Flag("faults", "Share of requests that meet a fault.").Default("0").Float64Var(&e.faults)
 	cmd.Flag("crash-on", "Body of a request that ends the process; none: no request does.").StringVar(&e.crashOn)
 	cmd.Flag("limit", "Requests a second that it names in its answers; 0: none.").Default("0").Float64Var(&e.limit)
-	cmd.Flag("serves-on", "How long it serves after a planned stop began.").Default("2500ms").DurationVar(&e.servesOn)
+	cmd.Flag("serves-on", "How long it serves after a planned stop began.").Default("2500ms").DurationVar(&e.drainTime)
 	cmd.Action(func(*kingpin.ParseContext) error { return e.run(*address) })
 }
 
@@ -126,7 +126,7 @@
 	}
 	engine := platformtest.NewEngine(e.config)
 	engine.SetLimit(e.limit)
-	engine.OnCrash = func() { os.Exit(crashStatus) }
+	engine.OnCrash = func() { os.Exit(crashExitCode) }
 	engine.FaultOf = e.faultOf
 	engine.OnRun = printRun
 	srv, err := listen(address, engine)
@@ -138,19 +138,20 @@
 	go e.register(ctx, engine)
 	waitForSignal()
 	cancel()
-	e.leave(engine)
-	time.Sleep(e.servesOn)
+	e.announceLeaving(engine)
+	time.Sleep(e.drainTime)
 	return srv.Close()
 }
 
-// confidence doubts a good part of the answers of the smaller model.
+// confidence returns a score from 0 to 100 that depends only on the request id and the
+// model, so that a good part of the smaller model's answers are in doubt.
 func confidence(id, model string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id + model))
 	return int(h.Sum32() % 101)
 }
 
-// faultOf makes a share of the requests meet a fault, any of those known.
+// faultOf returns a random fault for the configured share of requests.
 func (e *platformEngine) faultOf(*http.Request) platformtest.Fault {
 	if rand.Float64() >= e.faults {
 		return platformtest.NoFault
@@ -160,26 +161,25 @@
 	return all[rand.IntN(len(all))]
 }
 
-// register keeps the engine's entry in the store, by a lease, as long as the
-// process lives and reaches it.
+// register keeps the engine registered in the store under a lease until ctx ends.
 func (e *platformEngine) register(ctx context.Context, engine *platformtest.Engine) {
 	store := platform.NewStore(e.store)
 	key, value := engine.Registration(false)
 	for ctx.Err() == nil {
-		if lease, err := store.Grant(ctx, registrationLife); err == nil {
+		if lease, err := store.Grant(ctx, registrationTTL); err == nil {
 			if _, err = store.Put(ctx, key, value, lease); err == nil {
-				e.keep(ctx, store, lease)
+				e.renewLease(ctx, store, lease)
 			}
 		}
-		sleep(ctx, registrationEvery)
+		sleep(ctx, registrationInterval)
 	}
 }
 
-func (e *platformEngine) keep(ctx context.Context, store *platform.Store, lease kv.LeaseID) {
+func (e *platformEngine) renewLease(ctx context.Context, store *platform.Store, lease kv.LeaseID) {
 	for ctx.Err() == nil {
-		sleep(ctx, registrationEvery)
+		sleep(ctx, registrationInterval)
 		if _, err := store.KeepAlive(ctx, lease); err != nil {
-			return // it is registered anew
+			return // register registers it again
 		}
 	}
 }
@@ -191,12 +191,12 @@
 	}
 }
 
-// leave announces that the engine leaves, and prints a line once the store has
-// taken it; a store that is away learns of it when the lease ends.
-func (e *platformEngine) leave(engine *platformtest.Engine) {
+// announceLeaving announces that the engine leaves, and prints a line once the store
+// has accepted it. A store that is unavailable learns of it when the lease expires.
+func (e *platformEngine) announceLeaving(engine *platformtest.Engine) {
 	key, value := engine.Registration(true)
 	store := platform.NewStore(e.store)
-	lease, err := store.Grant(context.Background(), registrationLife)
+	lease, err := store.Grant(context.Background(), registrationTTL)
 	if err != nil {
 		return
 	}
@@ -205,18 +205,18 @@
 	}
 }
 
-// Printed is a line that an engine prints: a run that begins, or that the store
-// has taken that it leaves.
+// Printed is a line that an engine prints: that a run started, or that the store
+// accepted that the engine leaves.
 type Printed struct {
 	Engine string `json:"engine"`
-	ID     string `json:"id,omitempty"`      // the request that runs
-	AtMS   int64  `json:"at_ms,omitempty"`   // since when it runs
-	Fault  string `json:"fault,omitempty"`   // what the engine does to it instead of answering well
-	LeftMS int64  `json:"left_ms,omitempty"` // since when it leaves
+	ID     string `json:"id,omitempty"`      // request that runs
+	AtMS   int64  `json:"at_ms,omitempty"`   // start of the run, Unix time
+	Fault  string `json:"fault,omitempty"`   // what the engine does instead of a normal answer
+	LeftMS int64  `json:"left_ms,omitempty"` // time of leaving, Unix time
 }
 
-// printRun prints a run as it begins, before its answer, so that no run is
-// lost with its process.
+// printRun prints a run when it starts, before its response, so that no run is lost
+// if the process ends.
 func printRun(run platformtest.Run) {
 	printLine(Printed{Engine: run.Engine, ID: run.ID, AtMS: run.At.UnixMilli(), Fault: string(run.Fault)})
 }
--- a/command/standin/standin.go
+++ b/command/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is `lovagectl standin NAME`: runs one stand-in for an
-// outside system as its own process on loopback.
+// Package standin implements `lovagectl standin NAME`: it runs one stand-in for an
+// external system as a separate process on loopback.
 package standin
 
 import (
@@ -37,21 +37,21 @@
 	registerPlatform(cmd)
 }
 
-// clause is a stand-in's subcommand with the address it listens on.
-func clause(parent *kingpin.CmdClause, name, help string) (*kingpin.CmdClause, *string) {
+// subcommand adds a stand-in's subcommand with its --listen flag.
+func subcommand(parent *kingpin.CmdClause, name, help string) (*kingpin.CmdClause, *string) {
 	cmd := parent.Command(name, help)
 	return cmd, cmd.Flag("listen", "host:port").Required().String()
 }
 
 func registerKV(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "kv", "The platform key-value service.")
+	cmd, address := subcommand(parent, "kv", "The platform key-value service.")
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return run("kv", *address, kvserver.New(clockwork.NewRealClock()).Handler())
 	})
 }
 
 func registerEngine(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "engine", "A model engine serving one version.")
+	cmd, address := subcommand(parent, "engine", "A model engine serving one version.")
 	var s engine.Settings
 	cmd.Flag("model", "Model name.").Required().StringVar(&s.Model)
 	cmd.Flag("version", "Version name.").Required().StringVar(&s.Version)
@@ -69,8 +69,8 @@
 	})
 }
 
-// registerEngines is for measuring at size and for the example
-// configurations: one process stands in for every engine of a folder.
+// registerEngines adds a stand-in for every engine of a configuration folder in one
+// process, for measurements at size and for the example configurations.
 func registerEngines(parent *kingpin.CmdClause) {
 	cmd := parent.Command("engines", "Every engine of a configuration folder, in one process.")
 	dir := cmd.Arg("dir", "Configuration folder.").Required().ExistingDir()
@@ -92,9 +92,9 @@
 			}
 			h := service.New(s.Step).Handler()
 			if b.Kind == config.KindEngine {
-				one := s
-				one.Model, one.Version = b.Model, b.Version
-				h = engine.New(one, log).Handler()
+				engineSettings := s
+				engineSettings.Model, engineSettings.Version = b.Model, b.Version
+				h = engine.New(engineSettings, log).Handler()
 			}
 			if _, err := listen(b.Address, h); err != nil {
 				return err
@@ -108,7 +108,7 @@
 }
 
 func registerService(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "service", "A plain service that records every execution.")
+	cmd, address := subcommand(parent, "service", "A plain service that records every execution.")
 	work := cmd.Flag("work", "Time per call.").Default("5ms").Duration()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return run("service", *address, service.New(*work).Handler())
@@ -116,7 +116,7 @@
 }
 
 func registerRater(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "rater", "The service that rates answers.")
+	cmd, address := subcommand(parent, "rater", "The service that rates answers.")
 	skill := cmd.Flag("skill", `Skills as JSON, e.g. {"draft-small":0.4,"draft-large@v2":0.1}.`).Default("{}").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		var s raterd.Settings
@@ -128,7 +128,7 @@
 }
 
 func registerInstances(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "instances", "The platform's list of instances.")
+	cmd, address := subcommand(parent, "instances", "The platform's list of instances.")
 	lag := cmd.Flag("lag", "How late a change is served.").Default("1s").Duration()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return run("instances", *address, instances.New(clockwork.NewRealClock(), *lag).Handler())
@@ -136,7 +136,7 @@
 }
 
 func registerWeights(parent *kingpin.CmdClause) {
-	cmd, address := clause(parent, "weights", "The rate-limited weight store.")
+	cmd, address := subcommand(parent, "weights", "The rate-limited weight store.")
 	interval := cmd.Flag("interval", "Time that one fetch earns back.").Default("1s").Duration()
 	burst := cmd.Flag("burst", "Fetches at once.").Default("4").Int()
 	cmd.Action(func(*kingpin.ParseContext) error {
--- a/command/status/status.go
+++ b/command/status/status.go
@@ -1,5 +1,6 @@
-// Package status is `lovagectl status`: asks each entry, over the peer API,
-// for its instance, failure domain, configuration revision, readiness and peers.
+// Package status implements `lovagectl status`: it queries each entry over the
+// peer API for its instance, failure domain, configuration revision, readiness
+// and peers.
 package status
 
 import (
--- a/command/synth/synth.go
+++ b/command/synth/synth.go
@@ -1,5 +1,5 @@
-// Package synth is `lovagectl synth DIR`: writes a synthetic configuration
-// folder of a chosen size, for experiments at the target size.
+// Package synth implements `lovagectl synth DIR`: it writes a synthetic
+// configuration folder of a given size, for experiments at the target size.
 package synth
 
 import (
@@ -18,17 +18,17 @@
 func Register(app *kingpin.Application) {
 	cmd := app.Command("synth", "Write a synthetic configuration folder of a given size.")
 	dir := cmd.Arg("dir", "Folder to write (created).").Required().String()
-	s := isynth.Target
-	cmd.Flag("customers", "Customers.").Default("2000").IntVar(&s.Customers)
-	cmd.Flag("backends", "Back ends.").Default("3600").IntVar(&s.Backends)
-	cmd.Flag("models", "Models.").Default("9").IntVar(&s.Models)
-	cmd.Flag("domains", "Failure domains.").Default("13").IntVar(&s.Domains)
+	size := isynth.Target
+	cmd.Flag("customers", "Customers.").Default("2000").IntVar(&size.Customers)
+	cmd.Flag("backends", "Back ends.").Default("3600").IntVar(&size.Backends)
+	cmd.Flag("models", "Models.").Default("9").IntVar(&size.Models)
+	cmd.Flag("domains", "Failure domains.").Default("13").IntVar(&size.Domains)
 	cmd.Action(func(*kingpin.ParseContext) error {
-		doc := isynth.Document(s)
+		doc := isynth.Document(size)
 		if err := os.MkdirAll(*dir, 0o755); err != nil {
 			return trace.Wrap(err)
 		}
-		// One file per section, as operators keep them.
+		// One file per section, as in operators' folders.
 		parts := map[string]config.Document{
 			"10-models.yaml":    {Models: doc.Models, Cascades: doc.Cascades},
 			"20-customers.yaml": {Customers: doc.Customers},
--- a/command/validate/validate.go
+++ b/command/validate/validate.go
@@ -1,5 +1,6 @@
-// Package validate is `lovagectl validate DIR`: merge and check a
-// configuration folder without applying it; every finding with its place.
+// Package validate implements `lovagectl validate DIR`: it merges and checks a
+// configuration folder without applying it, and reports every finding with its
+// location.
 package validate
 
 import (
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -16,42 +16,42 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// What callers do.
+// Parameters of callers.
 const (
-	requestLimit = 3 * time.Second
-	// requestSlack is how much later than its deadline a request may end,
-	// whatever its entry is going through but a pause.
+	requestTimeout = 3 * time.Second
+	// requestSlack is how long after its deadline a request may end, whatever its
+	// entry is going through, except for a pause of the process.
 	requestSlack = 4 * time.Second
 	streamEvents = 20
 )
 
-// seen is what a caller saw of one request.
-type seen struct {
+// result is what a caller observed of one request.
+type result struct {
 	id, kind string
 	entry    string
-	// begun is when the caller turned to the entry, sent when it had sent the
-	// whole request (zero: never), ended when the answer or its connection ended.
-	begun, sent, ended time.Time
-	status             int
-	whole              bool // the answer came to its marked end
-	body               string
-	late               bool
+	// started is when the caller started the request, sent when the whole request
+	// was written (zero: never), ended when the response or its connection ended.
+	started, sent, ended time.Time
+	status               int
+	complete             bool // the response was received up to its end
+	body                 string
+	late                 bool
 }
 
-// callers send requests over connections that they keep, until ctx ends.
+// callers send requests over keep-alive connections until their context ends.
 type callers struct {
 	c       *cluster
 	seed    uint64
-	fragile bool // requests go to the fragile service, and one crashes its engines
-	series  bool // some callers keep long streams open, some open a connection a request
+	fragile bool // requests go to the fragile service, and one kind crashes its engines
+	series  bool // some callers keep long streams open, some use a new connection for each request
 
 	mu       sync.Mutex
-	all      []seen
+	results  []result
 	findings []string
-	marks    map[string]int64 // entry and boot -> highest version seen in force
+	served   map[string]int64 // entry and boot -> highest configuration version served there
 }
 
-func (s *callers) found(format string, args ...any) {
+func (s *callers) addFinding(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.findings = append(s.findings, fmt.Sprintf(format, args...))
@@ -63,18 +63,18 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.one(ctx, i)
+			s.runCaller(ctx, i)
 		}()
 	}
 	wg.Wait()
 }
 
-func (s *callers) one(ctx context.Context, number int) {
+func (s *callers) runCaller(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(number)))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	if s.series && number%longCallers == 0 {
-		s.streamOn(ctx, client, number)
+	if s.series && number%longStreamEvery == 0 {
+		s.runLongStreams(ctx, client, number)
 		return
 	}
 	kinds := s.kinds()
@@ -88,48 +88,49 @@
 	}
 }
 
-// call sends one request and notes what came of it.
+// call sends one request and records its result.
 func (s *callers) call(client *http.Client, e *entry, id, kind string) {
-	version := s.c.newest()
-	ctx, cancel := context.WithTimeout(context.Background(), limitOf(kind)+requestSlack)
+	version := s.c.latestVersion()
+	ctx, cancel := context.WithTimeout(context.Background(), timeoutOf(kind)+requestSlack)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.callers+pathOf(kind, version), strings.NewReader(bodyOf(id, kind)))
 	if err != nil {
-		s.found("%s: %v", id, err)
+		s.addFinding("%s: %v", id, err)
 		return
 	}
-	// net/http would send a request once more by itself; a caller must not.
+	// net/http would retry the request by itself; a caller must not.
 	req.GetBody = nil
 	req.Host = host
 	req.Header.Set("X-Attempt-Id", id)
-	req.Header.Set("X-Credential", key)
+	req.Header.Set("X-Credential", apiKey)
 	req.Header.Set("X-Model", "*")
-	if kind != kindCall { // which takes its time whatever it reads
+	if kind != kindCall { // whose duration does not depend on its tokens
 		req.Header.Set("X-Token-Usage", "100,10")
 	}
-	req.Header.Set("X-Deadline-Remaining", strconv.FormatInt(limitOf(kind).Milliseconds(), 10))
-	boot := e.boots()
-	r := seen{id: id, kind: kind, entry: e.name, begun: time.Now()}
+	req.Header.Set("X-Deadline-Remaining", strconv.FormatInt(timeoutOf(kind).Milliseconds(), 10))
+	boot := e.currentBoot()
+	r := result{id: id, kind: kind, entry: e.name, started: time.Now()}
 	var sent atomic.Pointer[time.Time]
-	req = req.WithContext(noteSent(ctx, &sent))
+	req = req.WithContext(traceSent(ctx, &sent))
 	resp, err := client.Do(req)
 	if err == nil {
 		raw, readErr := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		r.status, r.body, r.whole = resp.StatusCode, string(raw), readErr == nil
+		r.status, r.body, r.complete = resp.StatusCode, string(raw), readErr == nil
 	}
 	r.ended, r.late = time.Now(), ctx.Err() != nil
 	if at := sent.Load(); at != nil {
 		r.sent = *at
 	}
-	s.note(r)
-	if kind == kindMark && boot == e.boots() {
-		s.marked(fmt.Sprintf("%s boot %d", e.name, boot), version, r.status)
+	s.record(r)
+	if kind == kindVersion && boot == e.currentBoot() {
+		s.checkVersion(fmt.Sprintf("%s boot %d", e.name, boot), version, r.status)
 	}
 }
 
-// noteSent returns a context that notes when all of its request was sent.
-func noteSent(ctx context.Context, sent *atomic.Pointer[time.Time]) context.Context {
+// traceSent returns a context that stores in sent when its request was fully
+// written.
+func traceSent(ctx context.Context, sent *atomic.Pointer[time.Time]) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if now := time.Now(); info.Err == nil {
 			sent.Store(&now)
@@ -137,19 +138,19 @@
 	}})
 }
 
-func (s *callers) note(r seen) {
-	if problem := r.wrong(); problem != "" {
-		s.found("%s (%s): %s", r.id, r.kind, problem)
+func (s *callers) record(r result) {
+	if problem := r.checkBody(); problem != "" {
+		s.addFinding("%s (%s): %s", r.id, r.kind, problem)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.body = ""
-	s.all = append(s.all, r)
+	s.results = append(s.results, r)
 }
 
-// wrong says what is wrong with an answer by itself.
-func (r seen) wrong() string {
-	if r.status != http.StatusOK || !r.whole {
+// checkBody returns what is wrong with a complete 200 response, or "".
+func (r result) checkBody() string {
+	if r.status != http.StatusOK || !r.complete {
 		return ""
 	}
 	want := "answer to " + r.id
@@ -157,20 +158,20 @@
 		want = platformtest.WholeStream(0, streamEvents)
 	}
 	if r.body != want {
-		return fmt.Sprintf("answer of %d bytes is not its own whole one: %.80q", len(r.body), r.body)
+		return fmt.Sprintf("response of %d bytes is incomplete or belongs to another request: %.80q", len(r.body), r.body)
 	}
 	return ""
 }
 
-// marked checks that an entry's configuration does not go back: once a
-// version's route was served there, it exists.
-func (s *callers) marked(entry string, version int64, status int) {
+// checkVersion checks that an entry's configuration does not revert: once the route
+// of a version was served there, it keeps existing.
+func (s *callers) checkVersion(entry string, version int64, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case status == http.StatusOK:
-		s.marks[entry] = max(s.marks[entry], version)
-	case status == http.StatusNotFound && s.marks[entry] == version && s.c.newest() == version:
-		s.findings = append(s.findings, fmt.Sprintf("%s: version %d was in force and is no more", entry, version))
+		s.served[entry] = max(s.served[entry], version)
+	case status == http.StatusNotFound && s.served[entry] == version && s.c.latestVersion() == version:
+		s.findings = append(s.findings, fmt.Sprintf("%s: configuration version %d was in force and is no longer", entry, version))
 	}
 }
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -21,14 +21,14 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// The cluster's service and caller.
+// The cluster's service, host and API key.
 const (
 	service = "svc"
 	host    = "soak.example"
-	key     = "soak-key"
+	apiKey  = "soak-key"
 )
 
-// process is one that the soak has started.
+// process is a process that the soak has started.
 type process struct {
 	name string
 	args []string
@@ -54,63 +54,63 @@
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // it may have ended by itself
+	_ = p.cmd.Process.Signal(s) // the process may already have exited
 }
 
-// wait waits until it has ended; a stop that takes too long is a kill.
+// wait waits until the process has exited, and kills it after limit.
 func (p *process) wait(limit time.Duration) {
 	kill := time.AfterFunc(limit, func() { p.signal(syscall.SIGKILL) })
 	defer kill.Stop()
-	_ = p.cmd.Wait() // how it ended is the soak's doing
+	_ = p.cmd.Wait() // the soak itself ends processes, so any exit status is expected
 }
 
-func (p *process) boots() int {
+func (p *process) currentBoot() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.boot
 }
 
-// entry is an entry with the proxy between it and the store.
+// entry is an entry process with the proxy between it and the store.
 type entry struct {
 	*process
-	callers string
-	store   *Proxy
+	callers    string
+	storeProxy *Proxy
 }
 
-// engine is an engine stand-in with the proxy before it.
+// engine is an engine stand-in process with the proxy in front of it.
 type engine struct {
 	*process
-	proxy   *Proxy
-	log     string
-	service string
-	limited bool // it names a limit
+	proxy    *Proxy
+	logPath  string
+	service  string
+	hasLimit bool // it reports a rate limit
 }
 
 type cluster struct {
-	dir     string
-	store   *process
-	client  *platform.Store
-	direct  string
-	entries []*entry
-	mu      sync.Mutex // guards engines, fragile and version
-	engines []*engine
-	fragile []*engine // of the fragile service
-	version int64
-	all     []*process
-	ctl     string
-	grace   time.Duration // of entries, between SIGTERM and SIGKILL
+	dir          string
+	store        *process
+	storeClient  *platform.Store
+	storeAddress string
+	entries      []*entry
+	mu           sync.Mutex // guards engines, fragile and version
+	engines      []*engine
+	fragile      []*engine // engines of the fragile service
+	version      int64
+	processes    []*process
+	ctl          string
+	grace        time.Duration // time of entries between SIGTERM and SIGKILL
 }
 
-// newCluster starts a store, engines and entries.
+// newCluster starts the store, engines and entries.
 func newCluster(o Options) (*cluster, error) {
-	c := &cluster{dir: o.Dir, ctl: o.Ctl, grace: o.grace()}
-	c.direct = freeAddress()
-	c.store = &process{name: "store", args: []string{c.ctl, "standin", "platform-store", "--listen", c.direct}}
-	if err := c.run(c.store); err != nil {
+	c := &cluster{dir: o.Dir, ctl: o.CtlPath, grace: o.grace()}
+	c.storeAddress = freeAddress()
+	c.store = &process{name: "store", args: []string{c.ctl, "standin", "platform-store", "--listen", c.storeAddress}}
+	if err := c.startProcess(c.store); err != nil {
 		return nil, err
 	}
-	c.client = platform.NewStore(c.direct)
-	if err := c.configure(); err != nil {
+	c.storeClient = platform.NewStore(c.storeAddress)
+	if err := c.writeConfig(); err != nil {
 		return nil, err
 	}
 	for i := range o.Engines {
@@ -119,12 +119,12 @@
 		}
 	}
 	for i := range o.slowEngines() {
-		if err := c.addEngine(slowFrom+i, slowService, "v1"); err != nil {
+		if err := c.addEngine(firstSlowNumber+i, slowService, "v1"); err != nil {
 			return nil, err
 		}
 	}
 	for i := range o.Entries {
-		if err := c.addEntry(i, o.Edge); err != nil {
+		if err := c.addEntry(i, o.EdgePath); err != nil {
 			return nil, err
 		}
 	}
@@ -140,12 +140,12 @@
 	return ln.Addr().String()
 }
 
-func (c *cluster) run(p *process) error {
-	c.all = append(c.all, p)
-	return p.start(c.log(p.name))
+func (c *cluster) startProcess(p *process) error {
+	c.processes = append(c.processes, p)
+	return p.start(c.logPath(p.name))
 }
 
-func (c *cluster) log(name string) string { return filepath.Join(c.dir, name+".log") }
+func (c *cluster) logPath(name string) string { return filepath.Join(c.dir, name+".log") }
 
 func (c *cluster) addEngine(i int, service, version string) error {
 	address := freeAddress()
@@ -154,21 +154,21 @@
 		return err
 	}
 	name := fmt.Sprintf("engine-%d-%s-%d", i, version, time.Now().UnixNano())
-	e := &engine{proxy: proxy, log: c.log(name), service: service, process: &process{name: name, args: []string{c.ctl, "standin", "platform-engine", "--listen", address,
-		"--advertise", proxy.Address, "--store", c.direct, "--id", name, "--service", service, "--domain", fmt.Sprintf("d%d", i%2), "--software", version,
-		"--faults", "0.03", "--events", strconv.Itoa(streamEvents), "--pause", eventPause(service).String(), "--work", callWork.String(), "--serves-on", servesOn.String()}}}
+	e := &engine{proxy: proxy, logPath: c.logPath(name), service: service, process: &process{name: name, args: []string{c.ctl, "standin", "platform-engine", "--listen", address,
+		"--advertise", proxy.Address, "--store", c.storeAddress, "--id", name, "--service", service, "--domain", fmt.Sprintf("d%d", i%2), "--software", version,
+		"--faults", "0.03", "--events", strconv.Itoa(streamEvents), "--pause", eventPause(service).String(), "--work", callWork.String(), "--serves-on", drainTime.String()}}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engines = append(c.engines, e)
-	return c.run(e.process)
+	return c.startProcess(e.process)
 }
 
 func (c *cluster) addEntry(i int, bin string) error {
-	proxy, err := NewProxy(c.direct)
+	proxy, err := NewProxy(c.storeAddress)
 	if err != nil {
 		return err
 	}
-	e := &entry{callers: freeAddress(), store: proxy}
+	e := &entry{callers: freeAddress(), storeProxy: proxy}
 	path := filepath.Join(c.dir, fmt.Sprintf("entry-%d.yaml", i))
 	settings := fmt.Sprintf("instance: entry-%d\ndomain: d%d\nstore: %q\nlisten: {callers: %q, readiness: %q, peers: %q, loads: %q}\nbounds: {grace_s: %g}\n",
 		i, i%2, proxy.Address, e.callers, freeAddress(), freeAddress(), freeAddress(), c.grace.Seconds())
@@ -177,70 +177,70 @@
 	}
 	e.process = &process{name: fmt.Sprintf("entry-%d", i), args: []string{bin, "edge", "--settings", path}}
 	c.entries = append(c.entries, e)
-	return c.run(e.process)
+	return c.startProcess(e.process)
 }
 
-// configure writes the next configuration: the routes of each kind, and one
-// whose prefix tells the version.
-func (c *cluster) configure() error {
+// writeConfig writes the next configuration version: a route for each kind of
+// request, and one whose prefix contains the version.
+func (c *cluster) writeConfig() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
 	to := []fleet.Target{{Service: service, Weight: 1}}
 	route := func(name string, kind fleet.Kind, attempts int, resumable bool) fleet.Route {
-		return fleet.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: requestLimit, Objective: 500 * time.Millisecond,
+		return fleet.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: requestTimeout, Objective: 500 * time.Millisecond,
 			MaxGap: time.Second, MaxAttempts: attempts, Resumable: resumable, Targets: to}
 	}
 	cfg := &fleet.Config{Version: c.version, Services: map[string]fleet.Service{service: {Name: service}},
-		Customers: []fleet.Customer{{Name: "cust", Keys: []string{key}}}, Limits: fleet.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
+		Customers: []fleet.Customer{{Name: "cust", Keys: []string{apiKey}}}, Limits: fleet.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
 		Routes: []fleet.Route{route("post", fleet.NonIdempotent, 1, false), route("get", fleet.Idempotent, 3, false),
-			route("once", fleet.Streaming, 3, false), route("resume", fleet.Streaming, 3, true), route(mark(c.version), fleet.Idempotent, 2, false)}}
+			route("once", fleet.Streaming, 3, false), route("resume", fleet.Streaming, 3, true), route(versionRoute(c.version), fleet.Idempotent, 2, false)}}
 	cfg.Routes[3].Models = []string{"small", "large"}
 	cfg.Services[slowService] = fleet.Service{Name: slowService}
 	long, call := route(kindLong, fleet.Streaming, 1, false), route(kindCall, fleet.NonIdempotent, 1, false)
-	long.Timeout = longLimit
+	long.Timeout = longTimeout
 	long.Targets = []fleet.Target{{Service: slowService, Weight: 1}}
 	call.Targets = long.Targets
 	cfg.Services[fragileService] = fleet.Service{Name: fragileService}
 	fragile := route(kindFragile, fleet.Streaming, 3, true)
 	fragile.Targets = []fleet.Target{{Service: fragileService, Weight: 1}}
 	cfg.Routes = append(cfg.Routes, long, call, fragile)
-	_, err := c.client.Put(context.Background(), "op/config", platformtest.EncodeConfig(cfg), 0)
-	for try := 0; err != nil && try < 50; try++ { // the store may only just start
+	_, err := c.storeClient.Put(context.Background(), "op/config", platformtest.EncodeConfig(cfg), 0)
+	for try := 0; err != nil && try < 50; try++ { // the store may still be starting
 		time.Sleep(100 * time.Millisecond)
-		_, err = c.client.Put(context.Background(), "op/config", platformtest.EncodeConfig(cfg), 0)
+		_, err = c.storeClient.Put(context.Background(), "op/config", platformtest.EncodeConfig(cfg), 0)
 	}
 	return err
 }
 
-func mark(version int64) string { return fmt.Sprintf("mark-%d", version) }
+func versionRoute(version int64) string { return fmt.Sprintf("mark-%d", version) }
 
-func (c *cluster) newest() int64 {
+func (c *cluster) latestVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// stop ends everything that was started.
+// stop kills all processes and closes all proxies.
 func (c *cluster) stop() {
-	for _, p := range c.all {
+	for _, p := range c.processes {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		p.wait(time.Second)
 	}
 	for _, e := range c.entries {
-		e.store.Close()
+		e.storeProxy.Close()
 	}
 	for _, e := range c.engines {
 		e.proxy.Close()
 	}
 }
 
-// runs are the runs that engines have printed, by request.
-func (c *cluster) runs() (*ran, error) {
-	out := &ran{times: map[string]int{}, left: map[string]time.Time{}}
+// engineRuns reads from the engines' logs which requests they ran.
+func (c *cluster) engineRuns() (*runLog, error) {
+	out := &runLog{counts: map[string]int{}, leftAt: map[string]time.Time{}}
 	for _, e := range append(slices.Clone(c.engines), c.fragile...) {
-		f, err := os.Open(e.log)
+		f, err := os.Open(e.logPath)
 		if err != nil {
 			return nil, err
 		}
@@ -251,11 +251,11 @@
 				continue
 			}
 			if line.ID != "" {
-				out.times[line.ID]++
-				out.all = append(out.all, run{id: line.ID, engine: line.Engine, at: time.UnixMilli(line.AtMS), fault: line.Fault})
+				out.counts[line.ID]++
+				out.runs = append(out.runs, run{id: line.ID, engine: line.Engine, at: time.UnixMilli(line.AtMS), fault: line.Fault})
 			}
 			if line.LeftMS > 0 {
-				out.left[line.Engine] = time.UnixMilli(line.LeftMS)
+				out.leftAt[line.Engine] = time.UnixMilli(line.LeftMS)
 			}
 		}
 		f.Close()
--- a/soak/fragile.go
+++ b/soak/fragile.go
@@ -12,104 +12,105 @@
 	"github.com/lovageweir/lovageweir/platform/platformtest"
 )
 
-// The fragile service: a request crashes its engines, which come back, and one of them
-// names a limit. Its engines have no proxies before them: one would accept connections
-// for a process that has ended.
+// The fragile service: one request crashes its engines, which are restarted, and one of
+// them reports a rate limit. Its engines have no proxies in front of them, as a proxy
+// would accept connections for a process that has ended.
 const (
-	fragileService = "fragile"
-	fragileEngines = 5
-	fragileFrom    = 70 // number of the first of its engines
-	poisonBody     = "a body that crashes engines"
-	// poisonEvery: one request of the kind in so many is the one that crashes engines.
+	fragileService     = "fragile"
+	fragileEngines     = 5
+	firstFragileNumber = 70 // number of its first engine
+	poisonBody         = "a body that crashes engines"
+	// poisonEvery: one in so many requests of the kind crashes engines.
 	poisonEvery = 6
-	// backAfter is how long an engine that crashed is gone.
-	backAfter = time.Second
-	// crashesKnown is how many crashes make a request known, crashesMore how many may
-	// follow later than stable after these: the users' bounds.
-	crashesKnown = 3
-	crashesMore  = 3
-	// namedLimit is what the first fragile engine names, in requests a second; in any
-	// limitWindow it may get limitOver times that and limitMore.
-	namedLimit  = 4
-	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitMore   = 5
+	// restartDelay is how long a crashed engine is down.
+	restartDelay = time.Second
+	// crashesToDetect is the number of crashes after which a request must be known to
+	// crash engines, crashesAfterDetection how many more are allowed once stablePeriod has
+	// passed since: the users' bounds.
+	crashesToDetect       = 3
+	crashesAfterDetection = 3
+	// advertisedLimit is the limit that the first fragile engine reports, in requests a
+	// second. In any limitWindow it may get limitTolerance times that, plus limitBurst.
+	advertisedLimit = 4
+	limitWindow     = 4 * time.Second
+	limitTolerance  = 1.5
+	limitBurst      = 5
 )
 
-// fragileArgs are what a fragile engine is started with besides.
+// fragileArgs are the additional arguments of a fragile engine.
 func fragileArgs(number int) []string {
 	args := []string{"--crash-on", poisonBody, "--pause", "2ms"}
-	if number == fragileFrom {
-		args = append(args, "--limit", strconv.Itoa(namedLimit))
+	if number == firstFragileNumber {
+		args = append(args, "--limit", strconv.Itoa(advertisedLimit))
 	}
 	return args
 }
 
-// addFragile starts a fragile engine. It is not among those that the cluster ends.
-func (c *cluster) addFragile(number int) (*engine, error) {
+// startFragileEngine starts a fragile engine. The supervisor ends it, not the cluster.
+func (c *cluster) startFragileEngine(number int) (*engine, error) {
 	name := fmt.Sprintf("engine-%d-v1-%d", number, time.Now().UnixNano())
-	args := append([]string{c.ctl, "standin", "platform-engine", "--listen", freeAddress(), "--store", c.direct, "--id", name, "--service", fragileService,
+	args := append([]string{c.ctl, "standin", "platform-engine", "--listen", freeAddress(), "--store", c.storeAddress, "--id", name, "--service", fragileService,
 		"--domain", fmt.Sprintf("d%d", number%2), "--events", strconv.Itoa(streamEvents)}, fragileArgs(number)...)
-	e := &engine{log: c.log(name), service: fragileService, limited: number == fragileFrom, process: &process{name: name, args: args}}
+	e := &engine{logPath: c.logPath(name), service: fragileService, hasLimit: number == firstFragileNumber, process: &process{name: name, args: args}}
 	c.mu.Lock()
 	c.fragile = append(c.fragile, e)
 	c.mu.Unlock()
-	return e, e.start(e.log)
+	return e, e.start(e.logPath)
 }
 
 // supervisor keeps the fragile engines running until its context ends.
 type supervisor struct {
 	c  *cluster
-	f  *faults
+	f  *faultInjector
 	wg sync.WaitGroup
 }
 
 func (s *supervisor) run(ctx context.Context, engines int) {
 	for i := range engines {
-		s.wg.Go(func() { s.keep(ctx, fragileFrom+i) })
+		s.wg.Go(func() { s.superviseEngine(ctx, firstFragileNumber+i) })
 	}
 }
 
-// keep starts an engine, and another in its place whenever it has crashed.
-func (s *supervisor) keep(ctx context.Context, number int) {
+// superviseEngine starts an engine, and a replacement whenever it crashes.
+func (s *supervisor) superviseEngine(ctx context.Context, number int) {
 	for ctx.Err() == nil {
-		e, err := s.c.addFragile(number)
+		e, err := s.c.startFragileEngine(number)
 		if err != nil {
-			s.f.note("%s does not start: %v", e.name, err)
+			s.f.record("%s does not start: %v", e.name, err)
 			return
 		}
 		crashed := make(chan struct{})
 		go func() {
 			defer close(crashed)
-			_ = e.cmd.Wait() // how it ended is the request's doing
+			_ = e.cmd.Wait() // a crash is the expected effect of a poison request
 		}()
 		select {
 		case <-crashed:
-			s.f.ended(e.name)
+			s.f.recordCrash(e.name)
 		case <-ctx.Done():
 			e.signal(syscall.SIGKILL)
 			<-crashed
 			return
 		}
 		select {
-		case <-time.After(backAfter):
+		case <-time.After(restartDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// ended notes that an engine has just ended, with all that ran there.
-func (f *faults) ended(engine string) {
+// recordCrash records that an engine has just ended, with all requests that ran there.
+func (f *faultInjector) recordCrash(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	f.disturbed[engine] = append(f.disturbed[engine], span{now.Add(-backAfter), now.Add(backAfter)})
+	f.faulted[engine] = append(f.faulted[engine], interval{now.Add(-restartDelay), now.Add(restartDelay)})
 }
 
-// crashes are when runs crashed their engines, in order.
-func (r *ran) crashes() []time.Time {
+// crashTimes returns when runs crashed their engines, in order.
+func (r *runLog) crashTimes() []time.Time {
 	var out []time.Time
-	for _, one := range r.all {
+	for _, one := range r.runs {
 		if one.fault == string(platformtest.Crash) {
 			out = append(out, one.at)
 		}
@@ -118,48 +119,48 @@
 	return out
 }
 
-// crashedTooOften says whether the request that crashes engines reached them after it was
-// known; "": it did not.
-func (r *ran) crashedTooOften() string {
-	crashes := r.crashes()
-	if len(crashes) <= crashesKnown {
+// checkCrashes returns a finding if the request that crashes engines still reached them
+// after it had to be known, or "".
+func (r *runLog) checkCrashes() string {
+	crashTimes := r.crashTimes()
+	if len(crashTimes) <= crashesToDetect {
 		return ""
 	}
-	known := crashes[crashesKnown-1].Add(stable)
+	known := crashTimes[crashesToDetect-1].Add(stablePeriod)
 	late := 0
-	for _, at := range crashes {
+	for _, at := range crashTimes {
 		if at.After(known) {
 			late++
 		}
 	}
-	if late <= crashesMore {
+	if late <= crashesAfterDetection {
 		return ""
 	}
-	return fmt.Sprintf("a request that crashes engines reached %d of them later than %v after the third, %d in all", late, stable, len(crashes))
+	return fmt.Sprintf("a request that crashes engines reached %d of them later than %v after the third, %d in all", late, stablePeriod, len(crashTimes))
 }
 
-// overLimit says whether an engine that names a limit got more than that, where no entry
-// met a fault; "": none did.
-func (r *ran) overLimit(engines []*engine, disturbed []span) string {
+// checkLimit returns a finding if an engine got more requests than the limit that it
+// reports while no entry had a fault, or "".
+func (r *runLog) checkLimit(engines []*engine, faulted []interval) string {
 	for _, e := range engines {
 		var at []time.Time
-		for _, one := range r.all {
-			if one.engine == e.name && e.limited {
+		for _, one := range r.runs {
+			if one.engine == e.name && e.hasLimit {
 				at = append(at, one.at)
 			}
 		}
 		slices.SortFunc(at, time.Time.Compare)
-		if why := overLimit(at, disturbed); why != "" {
-			return e.name + ": " + why
+		if problem := checkLimit(at, faulted); problem != "" {
+			return e.name + ": " + problem
 		}
 	}
 	return ""
 }
 
-func overLimit(at []time.Time, disturbed []span) string {
-	const most = int(limitOver*namedLimit*limitWindow/time.Second) + limitMore
+func checkLimit(at []time.Time, faulted []interval) string {
+	const allowed = int(limitTolerance*advertisedLimit*limitWindow/time.Second) + limitBurst
 	for i, from := range at {
-		if from.Sub(at[0]) < stable || anyMeets(disturbed, from.Add(-stable), from.Add(limitWindow)) {
+		if from.Sub(at[0]) < stablePeriod || anyOverlaps(faulted, from.Add(-stablePeriod), from.Add(limitWindow)) {
 			continue
 		}
 		n := 0
@@ -168,30 +169,30 @@
 				n++
 			}
 		}
-		if n > most {
-			return fmt.Sprintf("names %d requests a second and got %d in %v, %d allowed", namedLimit, n, limitWindow, most)
+		if n > allowed {
+			return fmt.Sprintf("names %d requests a second and got %d in %v, %d allowed", advertisedLimit, n, limitWindow, allowed)
 		}
 	}
 	return ""
 }
 
-func anyMeets(all []span, from, to time.Time) bool {
+func anyOverlaps(all []interval, from, to time.Time) bool {
 	for _, s := range all {
-		if s.meets(from, to) {
+		if s.overlaps(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// ofEntries is when entries met faults, planned stops among them.
-func (f *faults) ofEntries() []span {
-	var out []span
+// entryFaults returns when entries had faults, including planned stops.
+func (f *faultInjector) entryFaults() []interval {
+	var out []interval
 	for _, e := range f.c.entries {
-		out = append(out, f.disturbed[e.name]...)
+		out = append(out, f.faulted[e.name]...)
 	}
 	for _, s := range f.stops {
-		out = append(out, s.span)
+		out = append(out, s.interval)
 	}
 	return out
 }
--- a/soak/kinds.go
+++ b/soak/kinds.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Kinds of requests; each has a route of its own. A call and a long stream go
-// to the slow service, and are sent only while stops come in series.
+// Kinds of requests, each with its own route. Calls and long streams go to the
+// slow service and are sent only if entries are stopped in series.
 const (
-	kindPost   = "post"
-	kindGet    = "get"
-	kindOnce   = "once"   // a stream that may not be resumed
-	kindResume = "resume" // one that may
-	kindMark   = "mark"   // its route tells which configuration is in force
-	kindCall   = "call"
-	kindLong   = "long"
-	// kindFragile goes to the fragile service; kindPoison is the one of them that crashes
-	// its engines.
+	kindPost         = "post"
+	kindGet          = "get"
+	kindNonResumable = "once"   // a stream that may not be resumed
+	kindResumable    = "resume" // a stream that may be resumed
+	kindVersion      = "mark"   // its route identifies the configuration version in force
+	kindCall         = "call"
+	kindLong         = "long"
+	// kindFragile goes to the fragile service; so does kindPoison, which crashes its
+	// engines.
 	kindFragile = "fragile"
 	kindPoison  = "poison"
 )
 
-// kinds are those that callers draw from.
+// kinds returns the kinds that callers draw from, repeated by weight.
 func (s *callers) kinds() []string {
-	kinds := []string{kindPost, kindGet, kindOnce, kindResume, kindMark}
+	kinds := []string{kindPost, kindGet, kindNonResumable, kindResumable, kindVersion}
 	if s.series {
 		kinds = append(kinds, kindCall, kindCall, kindCall)
 	}
@@ -34,27 +34,27 @@
 }
 
 func isStream(kind string) bool {
-	return kind == kindOnce || kind == kindResume || kind == kindLong || kind == kindFragile || kind == kindPoison
+	return kind == kindNonResumable || kind == kindResumable || kind == kindLong || kind == kindFragile || kind == kindPoison
 }
 
 // mayRepeat reports whether a request may run more than once.
 func mayRepeat(kind string) bool {
-	return kind == kindGet || kind == kindResume || kind == kindMark || kind == kindFragile || kind == kindPoison
+	return kind == kindGet || kind == kindResumable || kind == kindVersion || kind == kindFragile || kind == kindPoison
 }
 
-// limitOf is how long a request may take.
-func limitOf(kind string) time.Duration {
+// timeoutOf returns how long a request of a kind may take.
+func timeoutOf(kind string) time.Duration {
 	if kind == kindLong {
-		return longLimit
+		return longTimeout
 	}
-	return requestLimit
+	return requestTimeout
 }
 
-// pathOf is where a request goes; the engines stream where a path says so.
+// pathOf returns the path of a request; engines stream if it ends in /stream.
 func pathOf(kind string, version int64) string {
 	switch {
-	case kind == kindMark:
-		return "/" + mark(version) + "/x"
+	case kind == kindVersion:
+		return "/" + versionRoute(version) + "/x"
 	case kind == kindPoison:
 		return "/" + kindFragile + "/stream"
 	case isStream(kind):
@@ -63,7 +63,8 @@
 	return "/" + kind + "/x"
 }
 
-// bodyOf is a request's own, but for the one that crashes engines, which comes again.
+// bodyOf returns the body of a request. It is unique to the request, except that all
+// requests that crash engines have the same.
 func bodyOf(id, kind string) string {
 	if kind == kindPoison {
 		return poisonBody
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// An engine that leaves gets no new requests after a while. Which entry sent a
-// request does not show at the engine, so runs are excused while any entry could
-// not hear of changes, and for as long again as one takes to catch up.
+// An engine that is leaving must get no new requests after leavingBound. The engine
+// cannot tell which entry sent a request, so runs are excused while any entry could
+// not learn of changes, and for catchUp after that.
 const (
-	// leavingBound is the entries' default, bounds.leaving_ms.
+	// leavingBound is the entries' default of bounds.leaving_ms.
 	leavingBound = 2 * time.Second
-	// leavingSlack is for processes that get no processor for a while.
+	// leavingSlack allows for processes that are not scheduled for a while.
 	leavingSlack = time.Second
-	// catchUp is how long an entry takes to know all after it could not hear:
-	// the pause of a store that was away, and a watch that hung.
+	// catchUp is how long an entry takes to learn of all changes after it was
+	// disconnected: the retry pause after a store outage, and a watch that hung.
 	catchUp = 4 * time.Second
-	// servesOn is how long a leaving engine serves: longer than the bound, or
-	// nothing would show.
-	servesOn = 4 * time.Second
+	// drainTime is how long a leaving engine keeps serving. It must exceed
+	// leavingBound, or late requests would not be seen.
+	drainTime = 4 * time.Second
 )
 
-// span is a stretch of time.
-type span struct{ from, to time.Time }
+// interval is a time interval.
+type interval struct{ from, to time.Time }
 
-// meets reports whether it shares some time with the stretch between two times.
-func (s span) meets(from, to time.Time) bool { return s.from.Before(to) && s.to.After(from) }
+// overlaps reports whether s overlaps the interval between two times.
+func (s interval) overlaps(from, to time.Time) bool { return s.from.Before(to) && s.to.After(from) }
 
 // run is one run of a request at an engine.
 type run struct {
 	id, engine string
 	at         time.Time
-	fault      string // what the engine did to it; "": it answered well
+	fault      string // what the engine did instead of a normal answer; "": none
 }
 
-// ran is what the engines ran, as they printed it.
-type ran struct {
-	times map[string]int // by request
-	all   []run
-	left  map[string]time.Time // when the store took that an engine leaves
+// runLog is what the engines ran, according to their logs.
+type runLog struct {
+	counts map[string]int // by request
+	runs   []run
+	leftAt map[string]time.Time // when the store accepted that an engine leaves, by engine
 }
 
-// afterLeaving returns the runs that began too long after their engine's
-// leaving was known.
-func (r *ran) afterLeaving(deaf []span) []run {
+// runsAfterLeaving returns the runs that started too long after the store accepted
+// that their engine leaves.
+func (r *runLog) runsAfterLeaving(disconnected []interval) []run {
 	var late []run
-	for _, one := range r.all {
-		left, ok := r.left[one.engine]
-		if ok && one.at.Sub(left) > leavingBound+leavingSlack && !excused(left, one.at, deaf) {
+	for _, one := range r.runs {
+		leftAt, ok := r.leftAt[one.engine]
+		if ok && one.at.Sub(leftAt) > leavingBound+leavingSlack && !excused(leftAt, one.at, disconnected) {
 			late = append(late, one)
 		}
 	}
 	return late
 }
 
-// excused reports whether some entry could not hear, or was catching up, at any
-// time between an engine's leaving and a run.
-func excused(left, at time.Time, deaf []span) bool {
-	for _, s := range deaf {
-		if s.from.Before(at) && s.to.Add(catchUp).After(left) {
+// excused reports whether some entry was disconnected or catching up at any time
+// between an engine's leaving and a run.
+func excused(leftAt, at time.Time, disconnected []interval) bool {
+	for _, s := range disconnected {
+		if s.from.Before(at) && s.to.Add(catchUp).After(leftAt) {
 			return true
 		}
 	}
--- a/soak/lost.go
+++ b/soak/lost.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// A planned stop of an entry costs no request that it has taken its answer,
-// unless what the users allow cut it off.
+// A planned stop of an entry must lose no response of a request that the entry has
+// accepted, unless the users' bounds allow the cut-off.
 const (
-	// servedOn is the part of the grace after which a stream that came early in
-	// the stop may be cut, and longTaken how late in a stop it may have come:
-	// what the users allow.
-	servedOn  = 5. / 6
-	longTaken = 3 * time.Second
-	// lossSlack is how soon after its last byte a request must have met the
+	// minGraceShare is the share of the grace after which a stream that arrived
+	// early in the stop may be cut off, and earlyInStop how late in the stop it
+	// may have arrived: the users' bounds.
+	minGraceShare = 5. / 6
+	earlyInStop   = 3 * time.Second
+	// closeRaceWindow is how soon after its last byte a request must have met the
 	// closing of its connection to count as never read: the users' bound.
-	lossSlack = 200 * time.Millisecond
-	// stable is for how long before a request nothing else may have gone wrong
+	closeRaceWindow = 200 * time.Millisecond
+	// stablePeriod is how long before a request no other fault may have occurred
 	// where it went: the users' bound.
-	stable = 3 * time.Second
+	stablePeriod = 3 * time.Second
 )
 
-// lostAtStops returns the requests that came to an entry under a planned stop,
-// with nothing else wrong there, and got neither a whole answer nor a refusal.
-func (f *faults) lostAtStops(all []seen, runs *ran) []string {
-	last := runs.last()
+// lostAtStops returns the requests that an entry got during a planned stop, without
+// any other fault there, and that ended without a complete response or a refusal.
+func (f *faultInjector) lostAtStops(all []result, runs *runLog) []string {
+	lastRuns := runs.lastRuns()
 	var lost []string
 	for _, q := range all {
-		if q.whole || q.sent.IsZero() {
+		if q.complete || q.sent.IsZero() {
 			continue
 		}
 		for _, s := range f.stops {
-			if why := f.lost(q, s, last[q.id]); why != "" {
+			if why := f.lost(q, s, lastRuns[q.id]); why != "" {
 				lost = append(lost, fmt.Sprintf("%s (%s): sent to %s %v after SIGTERM, cut off at %v with status %d: %s", q.id, q.kind, q.entry,
 					q.sent.Sub(s.from).Round(time.Millisecond), q.ended.Sub(s.from).Round(time.Millisecond), q.status, why))
 			}
@@ -40,52 +40,52 @@
 	return lost
 }
 
-// lost says why a request that was cut off was lost to a stop; "": it was not,
-// or something else may have cut it off.
-func (f *faults) lost(q seen, s stop, last *run) string {
+// lost returns why a request that was cut off counts as lost to a stop. It
+// returns "" if it does not, or if something else may have cut it off.
+func (f *faultInjector) lost(q result, s plannedStop, last *run) string {
 	switch {
-	case q.entry != s.entry || !s.meets(q.begun, q.ended):
+	case q.entry != s.entry || !s.overlaps(q.started, q.ended):
 		return ""
-	case f.disturbedAt(q.entry, q):
+	case f.faultedDuring(q.entry, q):
 		return ""
-	case q.ended.Sub(q.begun) >= limitOf(q.kind):
-		return "" // its time was over
+	case q.ended.Sub(q.started) >= timeoutOf(q.kind):
+		return "" // its deadline had passed
 	case q.mayOutlast(s, f.c.grace):
 		return ""
-	case last == nil && q.ended.Sub(q.sent) <= lossSlack:
-		return "" // it crossed the closing of its connection
+	case last == nil && q.ended.Sub(q.sent) <= closeRaceWindow:
+		return "" // it was sent while its connection closed
 	case last == nil:
 		return "read, and never answered"
-	case last.fault != "" || f.disturbedAt(last.engine, q):
-		return "" // the endpoint, or the link to it, may have broken off
+	case last.fault != "" || f.faultedDuring(last.engine, q):
+		return "" // the endpoint or the link to it may have caused it
 	}
 	return "it ran at " + last.engine
 }
 
-// last is the last run of each request: the one that was under way when its
+// lastRuns returns the last run of each request, the one in progress when its
 // caller's connection closed.
-func (r *ran) last() map[string]*run {
-	last := map[string]*run{}
-	for i, one := range r.all {
-		if known := last[one.id]; known == nil || one.at.After(known.at) {
-			last[one.id] = &r.all[i]
+func (r *runLog) lastRuns() map[string]*run {
+	lastRuns := map[string]*run{}
+	for i, one := range r.runs {
+		if known := lastRuns[one.id]; known == nil || one.at.After(known.at) {
+			lastRuns[one.id] = &r.runs[i]
 		}
 	}
-	return last
+	return lastRuns
 }
 
-// mayOutlast reports whether a request is a stream that may last longer than
-// the grace of a stop: it came early and was at work until the end.
-func (q seen) mayOutlast(s stop, grace time.Duration) bool {
+// mayOutlast reports whether a request is a stream that may last longer than the
+// grace of a stop: it arrived early and went on until the grace was nearly over.
+func (q result) mayOutlast(s plannedStop, grace time.Duration) bool {
 	cutAt := q.ended.Sub(s.from)
-	return isStream(q.kind) && q.sent.Sub(s.from) <= longTaken && cutAt >= time.Duration(servedOn*float64(grace))
+	return isStream(q.kind) && q.sent.Sub(s.from) <= earlyInStop && cutAt >= time.Duration(minGraceShare*float64(grace))
 }
 
-// disturbedAt reports whether a process met a fault while a request was under
-// way or shortly before.
-func (f *faults) disturbedAt(process string, q seen) bool {
-	for _, s := range f.disturbed[process] {
-		if s.meets(q.begun.Add(-stable), q.ended) {
+// faultedDuring reports whether a process had a fault during a request or within
+// stablePeriod before it.
+func (f *faultInjector) faultedDuring(process string, q result) bool {
+	for _, s := range f.faulted[process] {
+		if s.overlaps(q.started.Add(-stablePeriod), q.ended) {
 			return true
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Mode is what a proxy does with what passes.
+// Mode is how a proxy treats the traffic that passes it.
 type Mode int32
 
-// Modes of a proxy.
+// Proxy modes.
 const (
 	Pass   Mode = iota
-	Reset       // connections are reset, new ones too
-	Silent      // nothing passes in either direction
-	OneWay      // what comes back does not pass
-	Slow        // everything is late
+	Reset       // connections, also new ones, are reset
+	Silent      // nothing is forwarded in either direction
+	OneWay      // nothing is forwarded from the target to the client
+	Slow        // everything is delayed by slowDelay
 )
 
-// slowBy is how late a slow proxy is.
-const slowBy = 150 * time.Millisecond
+// slowDelay is the delay before each write in mode Slow.
+const slowDelay = 150 * time.Millisecond
 
-// Proxy is a loopback TCP proxy before one address.
+// Proxy is a loopback TCP proxy for one target address.
 type Proxy struct {
 	Address string
 	target  string
@@ -33,7 +33,7 @@
 	conns map[net.Conn]bool
 }
 
-// NewProxy starts a proxy before target.
+// NewProxy starts a proxy for target.
 func NewProxy(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,8 +44,8 @@
 	return p, nil
 }
 
-// Set changes the mode. Connections that were open under a mode that lost
-// bytes are reset when it ends: their bytes are gone.
+// Set changes the mode. Open connections are reset if m is Reset, and when a mode ends
+// that drops bytes, as these are lost.
 func (p *Proxy) Set(m Mode) {
 	was := Mode(p.mode.Swap(int32(m)))
 	if m == Reset || was == Silent || was == OneWay {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.ln.Close()
 	p.resetAll()
@@ -85,8 +85,8 @@
 }
 
 func (p *Proxy) serve(in net.Conn) {
-	p.keep(in, true)
-	defer p.keep(in, false)
+	p.track(in, true)
+	defer p.track(in, false)
 	defer in.Close()
 	if Mode(p.mode.Load()) == Reset {
 		reset(in)
@@ -97,16 +97,16 @@
 		reset(in)
 		return
 	}
-	p.keep(out, true)
-	defer p.keep(out, false)
+	p.track(out, true)
+	defer p.track(out, false)
 	defer out.Close()
 	done := make(chan struct{}, 2)
-	go p.copy(out, in, false, done)
-	go p.copy(in, out, true, done)
+	go p.forward(out, in, false, done)
+	go p.forward(in, out, true, done)
 	<-done
 }
 
-func (p *Proxy) keep(c net.Conn, open bool) {
+func (p *Proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -116,22 +116,22 @@
 	}
 }
 
-// copy passes bytes on; back: from the target to the caller. Once some were
-// lost, none pass any more: a connection may fall silent, but it never goes
-// on behind a hole.
-func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
+// forward copies bytes from one connection to the other; toClient reports the direction.
+// Once bytes were dropped nothing more is forwarded: a connection may go silent, but it
+// never continues after a gap.
+func (p *Proxy) forward(to, from net.Conn, toClient bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
-	lost := false
+	dropped := false
 	for {
 		n, err := from.Read(buf)
 		switch m := Mode(p.mode.Load()); {
-		case m == Silent || m == OneWay && back:
-			lost = lost || n > 0
+		case m == Silent || m == OneWay && toClient:
+			dropped = dropped || n > 0
 		case m == Slow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
-		if n > 0 && !lost {
+		if n > 0 && !dropped {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that echoes what it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,9 +31,9 @@
 	return ln.Addr().String()
 }
 
-func TestProxyPassesAndResets(t *testing.T) {
+func TestProxyForwardsAndResets(t *testing.T) {
 	is := is.New(t)
-	p, err := NewProxy(echo(t))
+	p, err := NewProxy(startEchoServer(t))
 	is.NoErr(err)
 	defer p.Close()
 	c, err := net.Dial("tcp", p.Address)
@@ -47,10 +47,10 @@
 	is.True(err != nil)
 }
 
-// What was sent into a silence is lost, and the connection with it.
-func TestASilencedConnectionDoesNotComeBack(t *testing.T) {
+// Bytes sent while one direction is cut are lost, and the connection is reset.
+func TestConnectionIsResetAfterOneWayLoss(t *testing.T) {
 	is := is.New(t)
-	p, err := NewProxy(echo(t))
+	p, err := NewProxy(startEchoServer(t))
 	is.NoErr(err)
 	defer p.Close()
 	c, err := net.Dial("tcp", p.Address)
@@ -66,13 +66,12 @@
 	is.True(err != nil)
 }
 
-// Symptom: a caller's stream has a hole, though every process is well.
-// Events: bytes are lost on a connection that is silenced, the silence ends,
-// and bytes pass again before the connection is reset.
-// Cause: the proxy's; a connection never goes on behind what it lost.
-func TestNothingPassesBehindAHole(t *testing.T) {
+// Guards against a gap in a caller's stream that only the proxy caused: it dropped
+// bytes while silent and forwarded later ones on the same connection before it was
+// reset.
+func TestNothingIsForwardedAfterDroppedBytes(t *testing.T) {
 	is := is.New(t)
-	p, err := NewProxy(echo(t))
+	p, err := NewProxy(startEchoServer(t))
 	is.NoErr(err)
 	defer p.Close()
 	c, err := net.Dial("tcp", p.Address)
@@ -83,7 +82,7 @@
 	is.NoErr(err)
 	p.mode.Store(int32(Silent))
 	fmt.Fprintln(c, "two")
-	time.Sleep(50 * time.Millisecond) // for the proxy to read and lose it
+	time.Sleep(50 * time.Millisecond) // for the proxy to read and drop it
 	p.mode.Store(int32(Pass))
 	fmt.Fprintln(c, "three")
 	is.NoErr(c.SetReadDeadline(time.Now().Add(200 * time.Millisecond)))
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -12,41 +12,41 @@
 
 // Options of a soak.
 type Options struct {
-	Seed uint64
-	For  time.Duration
-	// Edge and Ctl are the programs to run.
-	Edge, Ctl string
-	// Dir keeps the processes' logs; it must exist.
+	Seed          uint64
+	FaultDuration time.Duration // how long faults are injected
+	// EdgePath and CtlPath are the lovageweir and lovagectl programs.
+	EdgePath, CtlPath string
+	// Dir receives the processes' logs; it must exist.
 	Dir              string
 	Entries, Engines int
 	Callers          int
-	// Series: entries meet planned stops in series that overlap instead of
-	// single faults of every kind.
+	// Series: entries get planned stops that overlap, instead of single faults of
+	// every kind.
 	Series bool
-	// Fragile: requests go to a service that one of them crashes the engines of, and whose
-	// first engine names a limit.
+	// Fragile: requests go to the fragile service, one kind of them crashes its engines, and
+	// its first engine reports a rate limit.
 	Fragile bool
 }
 
-// Report is what a soak came to.
+// Report is the result of a soak.
 type Report struct {
 	Seed     uint64
 	Requests int
 	Answered map[string]int // by kind and status
 	Stops    int            // planned stops of entries
-	Crashes  int            // engines that a request crashed
+	Crashes  int            // engine crashes caused by a request
 	Faults   []string
 	Findings []string
 }
 
-// Failed reports whether a promise was broken.
+// Failed reports whether a guarantee was violated.
 func (r *Report) Failed() bool { return len(r.Findings) > 0 }
 
-// settle is how long the cluster runs before faults, and without them at the
-// end, so that what is in flight ends.
+// settle is how long the cluster runs without faults before they start, and at the
+// end, so that requests in flight can finish.
 const settle = 1500 * time.Millisecond
 
-// Run plays one soak.
+// Run runs one soak.
 func Run(o Options) (*Report, error) {
 	if _, err := os.Stat(o.Dir); err != nil {
 		return nil, err
@@ -60,65 +60,65 @@
 	}
 	defer c.stop()
 	time.Sleep(settle)
-	s := &callers{c: c, seed: o.Seed, series: o.Series, fragile: o.Fragile, marks: map[string]int64{}}
-	f := &faults{c: c, rng: rand.New(rand.NewPCG(o.Seed, 0)), series: o.Series, disturbed: map[string][]span{}}
-	supervising, stopEngines := context.WithCancel(context.Background())
+	s := &callers{c: c, seed: o.Seed, series: o.Series, fragile: o.Fragile, served: map[string]int64{}}
+	f := &faultInjector{c: c, rng: rand.New(rand.NewPCG(o.Seed, 0)), series: o.Series, faulted: map[string][]interval{}}
+	engineCtx, stopEngines := context.WithCancel(context.Background())
 	defer stopEngines()
 	sup := &supervisor{c: c, f: f}
 	if o.Fragile {
-		sup.run(supervising, fragileEngines)
+		sup.run(engineCtx, fragileEngines)
 		time.Sleep(settle)
 	}
-	faulty, stopFaults := context.WithTimeout(context.Background(), o.For)
+	faultCtx, stopFaults := context.WithTimeout(context.Background(), o.FaultDuration)
 	defer stopFaults()
-	calling, stopCalls := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); s.run(calling, o.Callers) }()
-	stopped := make(chan struct{})
-	go func() { defer close(stopped); f.stopInSeries(faulty, o.Seed) }()
-	f.run(faulty)
-	<-stopped
+	callerCtx, stopCalls := context.WithCancel(context.Background())
+	callersDone := make(chan struct{})
+	go func() { defer close(callersDone); s.run(callerCtx, o.Callers) }()
+	stopsDone := make(chan struct{})
+	go func() { defer close(stopsDone); f.stopEntriesInSeries(faultCtx, o.Seed) }()
+	f.run(faultCtx)
+	<-stopsDone
 	time.Sleep(settle)
 	stopCalls()
-	<-ended
+	<-callersDone
 	stopEngines()
 	sup.wg.Wait()
 	return s.report(f)
 }
 
-// report checks what only shows at the end, from what the engines ran.
-func (s *callers) report(f *faults) (*Report, error) {
-	runs, err := s.c.runs()
+// report makes the checks that need the runs of the engines, at the end.
+func (s *callers) report(f *faultInjector) (*Report, error) {
+	engineRuns, err := s.c.engineRuns()
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Seed: s.seed, Requests: len(s.all), Answered: map[string]int{}, Stops: len(f.stops), Faults: f.played}
-	for _, q := range s.all {
+	r := &Report{Seed: s.seed, Requests: len(s.results), Answered: map[string]int{}, Stops: len(f.stops), Faults: f.injected}
+	for _, q := range s.results {
 		r.Answered[fmt.Sprintf("%s %d", q.kind, q.status)]++
 		once := !mayRepeat(q.kind)
-		if once && runs.times[q.id] > 1 {
-			s.found("%s (%s): ran %d times", q.id, q.kind, runs.times[q.id])
+		if once && engineRuns.counts[q.id] > 1 {
+			s.addFinding("%s (%s): ran %d times", q.id, q.kind, engineRuns.counts[q.id])
 		}
 		refused := q.status == http.StatusServiceUnavailable || q.status == http.StatusTooManyRequests
-		if once && refused && runs.times[q.id] > 0 {
-			s.found("%s (%s): refused with %d and has run", q.id, q.kind, q.status)
+		if once && refused && engineRuns.counts[q.id] > 0 {
+			s.addFinding("%s (%s): refused with %d and has run", q.id, q.kind, q.status)
 		}
 		if q.late {
-			s.found("%s (%s): no answer %v after its deadline", q.id, q.kind, requestSlack)
+			s.addFinding("%s (%s): no answer %v after its deadline", q.id, q.kind, requestSlack)
 		}
 	}
-	for _, lost := range f.lostAtStops(s.all, runs) {
-		s.found("%s", lost)
+	for _, lost := range f.lostAtStops(s.results, engineRuns) {
+		s.addFinding("%s", lost)
 	}
-	for _, late := range runs.afterLeaving(f.deaf) {
-		s.found("%s: ran at %s %v after the store took that it leaves", late.id, late.engine, late.at.Sub(runs.left[late.engine]))
+	for _, late := range engineRuns.runsAfterLeaving(f.disconnected) {
+		s.addFinding("%s: ran at %s %v after the store took that it leaves", late.id, late.engine, late.at.Sub(engineRuns.leftAt[late.engine]))
 	}
-	r.Crashes = len(runs.crashes())
-	if why := runs.crashedTooOften(); why != "" {
-		s.found("%s", why)
+	r.Crashes = len(engineRuns.crashTimes())
+	if finding := engineRuns.checkCrashes(); finding != "" {
+		s.addFinding("%s", finding)
 	}
-	if why := runs.overLimit(s.c.fragile, f.ofEntries()); why != "" {
-		s.found("%s", why)
+	if finding := engineRuns.checkLimit(s.c.fragile, f.entryFaults()); finding != "" {
+		s.addFinding("%s", finding)
 	}
 	sort.Strings(s.findings)
 	r.Findings = s.findings
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -12,8 +12,8 @@
 	"github.com/lovageweir/lovageweir/soak"
 )
 
-// programs builds the two binaries.
-func programs(t *testing.T) (edge, ctl string) {
+// buildPrograms builds lovageweir and lovagectl.
+func buildPrograms(t *testing.T) (edge, ctl string) {
 	t.Helper()
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+string(os.PathSeparator), "../cmd/lovageweir", "../cmd/lovagectl").CombinedOutput()
@@ -23,23 +23,23 @@
 	return filepath.Join(dir, "lovageweir"), filepath.Join(dir, "lovagectl")
 }
 
-// A short seeded soak; docs/SOAK.md lists the longer ones. Seeds that ever
-// failed are played here as well, each with a line on its cause.
+// A short seeded soak; docs/SOAK.md lists the longer ones. Seeds that have failed
+// before run here as well, each with its cause.
 func TestSeededSoak(t *testing.T) {
-	edge, ctl := programs(t)
+	edge, ctl := buildPrograms(t)
 	seeds := []uint64{
 		1,
-		// A stream with a hole: the proxy let a connection go on behind bytes
-		// that it had dropped, which no network does.
+		// A stream with a gap: the proxy went on forwarding on a connection after it
+		// had dropped bytes, which no network does.
 		150,
-		// A request that came 3.54 s into a stop with a grace of 4 s ran and got no
-		// answer: an entry with something in flight took calls until its process
+		// A request that arrived 3.54 s into a stop with a grace of 4 s ran and got no
+		// response: an entry with requests in flight accepted calls until its process
 		// ended.
 		402,
 	}
 	for _, seed := range seeds {
 		is := is.New(t)
-		r, err := soak.Run(soak.Options{Seed: seed, For: 4 * time.Second, Edge: edge, Ctl: ctl, Dir: t.TempDir(), Entries: 3, Engines: 4, Callers: 12})
+		r, err := soak.Run(soak.Options{Seed: seed, FaultDuration: 4 * time.Second, EdgePath: edge, CtlPath: ctl, Dir: t.TempDir(), Entries: 3, Engines: 4, Callers: 12})
 		is.NoErr(err)
 		t.Logf("seed %d: %d requests, %d faults: %v", r.Seed, r.Requests, len(r.Faults), r.Answered)
 		for _, f := range r.Findings {
@@ -50,17 +50,15 @@
 	}
 }
 
-// Symptom: callers' connections close without an answer though an endpoint ran
-// their requests.
-// Events: over half of the entries are stopping at a time, with long streams
-// that keep them alive until the end of the grace, while callers go on sending
-// to them on kept and on new connections and the configuration changes.
-// Cause: a stopping entry that had something in flight took calls until its
-// process ended.
+// Guards against connections that close without a response although an endpoint ran the
+// request: a stopping entry with requests in flight accepted calls until its process
+// ended. More than half of the entries stop at a time, long streams keep them running
+// until the end of the grace, callers keep sending to them on existing and new
+// connections, and the configuration changes.
 func TestSeededSoakOfPlannedStops(t *testing.T) {
 	is := is.New(t)
-	edge, ctl := programs(t)
-	r, err := soak.Run(soak.Options{Seed: 1, For: 3 * time.Second, Edge: edge, Ctl: ctl, Dir: t.TempDir(), Entries: 5, Engines: 4, Callers: 24, Series: true})
+	edge, ctl := buildPrograms(t)
+	r, err := soak.Run(soak.Options{Seed: 1, FaultDuration: 3 * time.Second, EdgePath: edge, CtlPath: ctl, Dir: t.TempDir(), Entries: 5, Engines: 4, Callers: 24, Series: true})
 	is.NoErr(err)
 	t.Logf("seed %d: %d requests, %d planned stops, %d faults: %v", r.Seed, r.Requests, r.Stops, len(r.Faults), r.Answered)
 	for _, f := range r.Findings {
@@ -70,11 +68,12 @@
 	is.True(r.Stops > 2) // over half of the entries
 }
 
-// Guards against a request that crashes engines, and a limit that one names, while entries and links meet faults.
+// Guards against too many crashes by a request that crashes engines, and too many requests
+// to an engine that reports a limit, while entries and links have faults.
 func TestSeededSoakOfAFragileService(t *testing.T) {
-	edge, ctl := programs(t)
+	edge, ctl := buildPrograms(t)
 	is := is.New(t)
-	r, err := soak.Run(soak.Options{Seed: 9001, For: 6 * time.Second, Edge: edge, Ctl: ctl, Dir: t.TempDir(), Entries: 3, Engines: 4, Callers: 12, Fragile: true})
+	r, err := soak.Run(soak.Options{Seed: 9001, FaultDuration: 6 * time.Second, EdgePath: edge, CtlPath: ctl, Dir: t.TempDir(), Entries: 3, Engines: 4, Callers: 12, Fragile: true})
 	is.NoErr(err)
 	t.Logf("%d requests, %d faults, %d engines crashed: %v", r.Requests, len(r.Faults), r.Crashes, r.Answered)
 	for _, f := range r.Findings {
