--- a/soak/callers.go
+++ b/soak/callers.go
@@ -158,7 +158,7 @@
 		want = platformtest.WholeStream(0, streamEvents)
 	}
 	if r.body != want {
-		return fmt.Sprintf("response of %d bytes is incomplete or belongs to another request: %.80q", len(r.body), r.body)
+		return fmt.Sprintf("answer of %d bytes is not its own whole one: %.80q", len(r.body), r.body)
 	}
 	return ""
 }
@@ -172,6 +172,6 @@
 	case status == http.StatusOK:
 		s.served[entry] = max(s.served[entry], version)
 	case status == http.StatusNotFound && s.served[entry] == version && s.c.latestVersion() == version:
-		s.findings = append(s.findings, fmt.Sprintf("%s: configuration version %d was in force and is no longer", entry, version))
+		s.findings = append(s.findings, fmt.Sprintf("%s: version %d was in force and is no more", entry, version))
 	}
 }
