--- a/agent/agent.go
+++ b/agent/agent.go
@@ -102,12 +102,12 @@
 
 func newWatcher(c kv.Client, members *peers.Table, clock clockwork.Clock, log *slog.Logger) *configwatch.Watcher {
 	return configwatch.New(c, clock, log.With("part", "config"),
-		configwatch.HoldsWhen(func() bool { return members.Holds("config", watchersPerDomain) }))
+		configwatch.WatchWhen(func() bool { return members.IsResponsible("config", watchersPerDomain) }))
 }
 
 func newGuard(s *settings.Entry, inc incarnation, w *configwatch.Watcher, clock clockwork.Clock, log *slog.Logger) *guard.Guard {
 	g := guard.New(s.Instance, int64(inc), clock, log.With("part", "guard"))
-	w.OnKey(g.Stored)
+	w.OnKey(g.RecordStoredHalt)
 	return g
 }
 
@@ -131,13 +131,13 @@
 	seeds := func() []string { return append(p.Seeds(), s.Peers...) }
 	g := peers.NewGossip(members, seeds, dial, log.With("part", "peers"))
 	g.Add(configwatch.NewTopic(w, dial), gd.Topic(members.Local), endpoints.NewTopic(t, w.Table, s.Domain), suspectTopic{q}, limitTopic{rl})
-	w.OnNews(g.Rumour)
-	gd.OnNews(g.Rumour)
+	w.OnChange(g.TriggerSpread)
+	gd.OnHalt(g.TriggerSpread)
 	return g
 }
 
 func newLedger(s *settings.Entry, inc incarnation, c kv.Client, members *peers.Table, clock clockwork.Clock, log *slog.Logger) *ledger.Ledger {
-	holder := func() bool { return members.Holds(ledgerGroup(s.Instance), 1) }
+	holder := func() bool { return members.IsResponsible(ledgerGroup(s.Instance), 1) }
 	return ledger.New(c, s.Instance, int64(inc), holder, clock, log.With("part", "ledger"))
 }
 
@@ -161,9 +161,9 @@
 		return nil, err
 	}
 	d := gateway.Deps{
-		Instance: s.Instance, Life: int64(inc), Domain: s.Domain, Tables: w, Endpoints: t, Keys: keys, Bill: billing, Claims: claims,
-		Guard: gd, Quarantine: q, Limits: rl, HoldsLimit: func(b string) bool { return members.Holds("limit/"+b, 1) }, Planner: planner, Gate: gate, Clock: clock, Log: log.With("part", "gateway"), Scope: m.Scope.SubScope("gateway"),
-		Timeouts: gateway.Timeouts{FirstToken: s.FirstTokenTimeout, Idle: s.IdleTimeout, Whole: s.AnswerTimeout},
+		Instance: s.Instance, Incarnation: int64(inc), Domain: s.Domain, Tables: w, Endpoints: t, Keys: keys, Bill: billing, Claims: claims,
+		Guard: gd, Quarantine: q, Limits: rl, HoldsLimit: func(b string) bool { return members.IsResponsible("limit/"+b, 1) }, Planner: planner, Gate: gate, Clock: clock, Log: log.With("part", "gateway"), Scope: m.Scope.SubScope("gateway"),
+		Timeouts: gateway.Timeouts{FirstToken: s.FirstTokenTimeout, Idle: s.IdleTimeout, Unary: s.AnswerTimeout},
 	}
 	if s.Rater != "" {
 		d.Rater = rater.NewClient(s.Rater)
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -18,5 +18,5 @@
 
 // Merge implements peers.Topic.
 func (l limitTopic) Merge(_ context.Context, d peers.Received) (news bool) {
-	return l.limits.LearnMessage(d.Limits)
+	return l.limits.MergeMessage(d.Limits)
 }
--- a/agent/loops.go
+++ b/agent/loops.go
@@ -46,7 +46,7 @@
 }
 
 func runQuarantine(lc fx.Lifecycle, q *quarantine.Table, g *peers.Gossip) {
-	background.Run(lc, func(ctx context.Context) { suspectTopic{q}.forwardNews(ctx, g.Rumour) }, nil)
+	background.Run(lc, func(ctx context.Context) { suspectTopic{q}.forwardNews(ctx, g.TriggerSpread) }, nil)
 	background.Run(lc, background.Every(quarantine.Interval, q.Tick), nil)
 }
 
@@ -61,7 +61,7 @@
 		}
 	}
 	background.Run(lc, background.Every(ledger.FlushInterval, flush), func(ctx context.Context) {
-		if err := background.Persist(ctx, ledgerTimeout, l.FlushAll); err != nil {
+		if err := background.RetryFor(ctx, ledgerTimeout, l.FlushAll); err != nil {
 			log.Error("ledger: records not written at stop.", "error", err, "waiting", l.Waiting())
 		}
 	})
@@ -84,7 +84,7 @@
 		return nil
 	}
 	background.Run(lc, background.Every(housekeepingInterval, c.Sweep), func(ctx context.Context) {
-		if err := background.Persist(ctx, claimsTimeout, sweep); err != nil {
+		if err := background.RetryFor(ctx, claimsTimeout, sweep); err != nil {
 			log.Error("claims: not released at stop.", "error", err, "waiting", c.Pending())
 		}
 	})
@@ -95,9 +95,9 @@
 	if !s.ManageEngines {
 		return
 	}
-	holder := func() bool { return members.Holds("orders", 1) }
+	holder := func() bool { return members.IsResponsible("orders", 1) }
 	k := orders.New(d, holder, w.Table, t, s.Domain, clock, log.With("part", "orders"))
-	background.Run(lc, background.Every(orders.Interval, k.Round), resign(d))
+	background.Run(lc, background.Every(orders.Interval, k.Reconcile), resign(d))
 }
 
 // resign gives up d at a planned stop. Its time-out keeps an unresponsive KV from
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -147,7 +147,7 @@
 }
 
 func (s *peerServer) Shadow(_ context.Context, r *peerpb.ShadowRequest) (*peerpb.ShadowResponse, error) {
-	return s.Ledger.Keep(r), nil
+	return s.Ledger.StoreCopies(r), nil
 }
 
 func (s *peerServer) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -24,12 +24,12 @@
 // further hooks and the process exits. It includes time for the steps after the
 // drain: a drain that used all of it left billing records unwritten.
 func stopTimeout(s *settings.Entry) time.Duration {
-	return s.DrainTimeout + drain.LastAnswers + 3*closeTimeout + resignTimeout + claimsTimeout + ledgerTimeout + haltsTimeout
+	return s.DrainTimeout + drain.FlushTimeout + 3*closeTimeout + resignTimeout + claimsTimeout + ledgerTimeout + haltsTimeout
 }
 
 // drainTimes returns the stages of the drain.
 func drainTimes(s *settings.Entry) drain.Times {
-	return drain.Times{Stays: min(drain.LookAway, s.DrainTimeout/2), End: s.DrainTimeout}
+	return drain.Times{ServeAtLeast: min(drain.BalancerDelay, s.DrainTimeout/2), End: s.DrainTimeout}
 }
 
 // drain stops serving: the entry reports not ready and refuses new requests as not
@@ -38,14 +38,14 @@
 // served until the last request has ended.
 func (s server) drain(ls []*listen.Listener, log *slog.Logger) {
 	s.Members.Leave()
-	s.Gossip.Rumour()
+	s.Gossip.TriggerSpread()
 	log.Info("server: draining.", "in_flight", s.Gate.InFlight())
 	s.Gate.Drain(drainTimes(s.Set), ls[0].CloseIdle)
 	inFlight, busy := s.Gate.InFlight(), 0
 	for _, l := range ls {
 		busy += l.Close(closeTimeout)
 	}
-	took, _ := s.Gate.Since()
+	took, _ := s.Gate.StopElapsed()
 	log.Info("server: closed.", "in_flight", inFlight, "busy_connections", busy, "took_ms", took.Milliseconds())
 	s.awaitHandlers()
 }
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -175,7 +175,7 @@
 	is.NoErr(json.NewDecoder(resp.Body).Decode(&body))
 	is.Equal(body.Error.Type, openai.OutcomeNotRun)
 
-	clock.Advance(drain.LookAway)
+	clock.Advance(drain.BalancerDelay)
 	<-ended
 	_, err = (&http.Client{Transport: &http.Transport{}}).Get(url + "/readyz")
 	is.True(err != nil) // the listener is closed
@@ -222,7 +222,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settled := make(settledRecords, 1)
 	srv := testServer(clock, 0, gateway.Deps{Instance: "e1", Domain: "fd-1", Tables: staticTable{route.NewTable(1, doc)}, Endpoints: endpoints.NewTable(clock), Bill: settled,
-		Timeouts: gateway.Timeouts{FirstToken: time.Hour, Idle: time.Hour, Whole: time.Hour}, Clock: clock, Log: log, Scope: tally.NoopScope})
+		Timeouts: gateway.Timeouts{FirstToken: time.Hour, Idle: time.Hour, Unary: time.Hour}, Clock: clock, Log: log, Scope: tally.NoopScope})
 	callers, _ := serveCallers(t, srv)
 	caller, err := net.Dial("tcp", callers.Addr().String())
 	is.NoErr(err)
@@ -268,8 +268,8 @@
 	for _, d := range []time.Duration{time.Second, settings.DefaultDrainTimeout, 10 * time.Minute} {
 		s := &settings.Entry{DrainTimeout: d}
 		times := drainTimes(s)
-		is.True(times.Stays <= times.End)
+		is.True(times.ServeAtLeast <= times.End)
 		is.Equal(times.End, d)
-		is.True(stopTimeout(s) >= d+drain.LastAnswers+closeTimeout+claimsTimeout+ledgerTimeout)
+		is.True(stopTimeout(s) >= d+drain.FlushTimeout+closeTimeout+claimsTimeout+ledgerTimeout)
 	}
 }
--- a/agent/suspects.go
+++ b/agent/suspects.go
@@ -19,7 +19,7 @@
 // Merge implements peers.Topic. It always returns false, as forwardNews starts the
 // rounds for new suspects.
 func (s suspectTopic) Merge(_ context.Context, d peers.Received) (news bool) {
-	s.table.HearMessage(d.Suspects)
+	s.table.MergeMessage(d.Suspects)
 	return false
 }
 
@@ -27,7 +27,7 @@
 func (s suspectTopic) forwardNews(ctx context.Context, rumour func()) {
 	for {
 		select {
-		case <-s.table.News():
+		case <-s.table.Updates():
 			rumour()
 		case <-ctx.Done():
 			return
--- a/call/call.go
+++ b/call/call.go
@@ -20,8 +20,8 @@
 	Tokens int
 }
 
-// Facts is the metadata that a caller sends with its request.
-type Facts struct {
+// RequestMetadata is the metadata that a caller sends with its request.
+type RequestMetadata struct {
 	// ID identifies this attempt of the caller.
 	ID string
 	// Remaining is the time left until the caller's deadline; 0: none given.
@@ -45,7 +45,7 @@
 
 // SharedPrompt returns the prompt without its last part, which is specific to
 // the request.
-func (f *Facts) SharedPrompt() []PromptPart {
+func (f *RequestMetadata) SharedPrompt() []PromptPart {
 	if len(f.Prompt) == 0 {
 		return nil
 	}
@@ -53,7 +53,7 @@
 }
 
 // SharedTokens returns the number of tokens in the shared prompt.
-func (f *Facts) SharedTokens() int {
+func (f *RequestMetadata) SharedTokens() int {
 	n := 0
 	for _, p := range f.SharedPrompt() {
 		n += p.Tokens
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Directions is the metadata that an entry adds to a request for an endpoint.
-type Directions struct {
+// ForwardOptions is the metadata that an entry adds to a request for an endpoint.
+type ForwardOptions struct {
 	Endpoint  string // the only incarnation that may run the request
 	Remaining time.Duration
 	Customer  string
@@ -80,8 +80,8 @@
 	Running, Waiting, Slots int
 }
 
-// Answer is the metadata in the head of an endpoint's response.
-type Answer struct {
+// ResponseMetadata is the metadata in the head of an endpoint's response.
+type ResponseMetadata struct {
 	Status int
 	// NotRun: the endpoint did not run the request and will not.
 	NotRun bool
@@ -105,17 +105,17 @@
 }
 
 // Success reports whether the status is 2xx.
-func (a *Answer) Success() bool { return a.Status/100 == 2 }
+func (a *ResponseMetadata) Success() bool { return a.Status/100 == 2 }
 
-// Wire decodes and encodes the headers of requests and responses; the
+// HeaderCodec decodes and encodes the headers of requests and responses; the
 // platform's adapter implements it.
-type Wire interface {
+type HeaderCodec interface {
 	// Request decodes the headers of a caller's request.
-	Request(h http.Header) Facts
+	Request(h http.Header) RequestMetadata
 	// Forward returns the headers to send to an endpoint.
-	Forward(from http.Header, d Directions) http.Header
+	Forward(from http.Header, d ForwardOptions) http.Header
 	// Answer decodes the status and headers of an endpoint's response.
-	Answer(status int, h http.Header) Answer
+	Answer(status int, h http.Header) ResponseMetadata
 	// Returned returns the headers to send to the caller.
 	Returned(from http.Header) http.Header
 	// RetryAfter sets the header that tells a caller when to retry.
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -58,9 +58,9 @@
 	return s
 }
 
-// Worth reports whether to try step of cascade on a prompt of that size: its pass
+// ShouldTry reports whether to try step of cascade on a prompt of that size: its pass
 // rate is at least floor, or it is due for exploration.
-func (p *Planner) Worth(cascade string, step, promptBytes int, floor float64) bool {
+func (p *Planner) ShouldTry(cascade string, step, promptBytes int, floor float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.statLocked(cascade, step, promptBytes)
@@ -75,8 +75,8 @@
 	return false
 }
 
-// Learn records whether an answer passed step.
-func (p *Planner) Learn(cascade string, step, promptBytes int, passed bool) {
+// Record records whether an answer passed step.
+func (p *Planner) Record(cascade string, step, promptBytes int, passed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.statLocked(cascade, step, promptBytes)
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Ladder decides which of a route's models answers first, and whether an answer
+// EscalationPolicy decides which of a route's models answers first, and whether an answer
 // of low confidence is dropped in favour of one of a larger model.
 //
 // Small models are cheap and fast and answer easy requests as well as large ones
@@ -13,15 +13,15 @@
 // The largest model takes many times the engine time. When engines are
 // overloaded, its answer is late and delays others; then only answers that are
 // almost certainly poor are dropped.
-type Ladder struct {
-	// Doubt is the confidence, 0 to 100, below which an answer is dropped while
+type EscalationPolicy struct {
+	// MinConfidence is the confidence, 0 to 100, below which an answer is dropped while
 	// neither time nor engine capacity is short.
-	Doubt int
+	MinConfidence int
 }
 
-// DefaultDoubt is the default threshold; docs/CASCADES.md has the results at other
+// DefaultMinConfidence is the default threshold; docs/CASCADES.md has the results at other
 // values.
-const DefaultDoubt = 50
+const DefaultMinConfidence = 50
 
 // How the confidence threshold falls with the time left and the engines' load.
 const (
@@ -49,38 +49,38 @@
 
 // Verdicts.
 const (
-	// Ask: the request goes to a larger model.
-	Ask Verdict = "asked"
+	// Escalate: the request goes to a larger model.
+	Escalate Verdict = "asked"
 	// NoTime: a larger model's answer would be late.
 	NoTime Verdict = "no time"
-	// NoRoom: the engines are too busy for an answer of this confidence, or at their
+	// EnginesBusy: the engines are too busy for an answer of this confidence, or at their
 	// limits.
-	NoRoom Verdict = "engines busy"
+	EnginesBusy Verdict = "engines busy"
 	// Suspect: endpoints crashed while they held the request.
 	Suspect Verdict = "endpoints crashed under it"
-	// NoRepeat: the retry budget or the number of attempts is exhausted.
-	NoRepeat Verdict = "no repeat"
+	// NoRetry: the retry budget or the number of attempts is exhausted.
+	NoRetry Verdict = "no repeat"
 )
 
-// Outlook estimates what a larger model's answer would take.
-type Outlook struct {
+// Estimate estimates what a larger model's answer would take.
+type Estimate struct {
 	Elapsed   time.Duration // since the request arrived
 	Wait      time.Duration // behind other requests: at the chosen engine, or the usual one if longer
 	First     time.Duration // from the end of the wait to the larger model's first event
 	Objective time.Duration
-	// Busy is the number of requests that run and wait at the service's engines, as
+	// Utilization is the number of requests that run and wait at the service's engines, as
 	// a fraction of their slots, by their latest reports.
-	Busy float64
+	Utilization float64
 }
 
 // headroom is the capacity left for a larger model's answer, from 1 at relaxedLoad
 // or less to 0 at maxLoad or more.
-func (o Outlook) headroom() float64 {
-	return min(1, max(0, (maxLoad-o.Busy)/(maxLoad-relaxedLoad)))
+func (o Estimate) headroom() float64 {
+	return min(1, max(0, (maxLoad-o.Utilization)/(maxLoad-relaxedLoad)))
 }
 
 // slack is the share of the objective that would be left.
-func (o Outlook) slack() float64 {
+func (o Estimate) slack() float64 {
 	if o.Objective <= 0 {
 		return 1
 	}
@@ -88,32 +88,32 @@
 }
 
 // First returns the index of the model that a request starts with.
-func (l Ladder) First(int) int { return 0 }
+func (l EscalationPolicy) First(int) int { return 0 }
 
 // Next returns the model to ask after an answer of the model at index with
 // the given confidence. It is the largest: an intermediate one costs an attempt
 // and is little better.
-func (l Ladder) Next(models, index, confidence int) (next int, ok bool) {
-	if index >= models-1 || confidence < 0 || confidence >= l.Doubt {
+func (l EscalationPolicy) Next(models, index, confidence int) (next int, ok bool) {
+	if index >= models-1 || confidence < 0 || confidence >= l.MinConfidence {
 		return index, false
 	}
 	return models - 1, true
 }
 
-// Judge decides whether to ask the larger model, by the time left and the engines'
+// Decide decides whether to ask the larger model, by the time left and the engines'
 // load.
-func (l Ladder) Judge(confidence int, o Outlook) Verdict {
+func (l EscalationPolicy) Decide(confidence int, o Estimate) Verdict {
 	slack := o.slack()
 	if slack < minSlack {
 		return NoTime
 	}
 	timeFactor := min(1, (slack-minSlack)/(relaxedSlack-minSlack))
-	threshold := float64(l.Doubt) * timeFactor
+	threshold := float64(l.MinConfidence) * timeFactor
 	switch {
 	case float64(confidence) >= threshold:
 		return NoTime
 	case float64(confidence) >= threshold*o.headroom():
-		return NoRoom
+		return EnginesBusy
 	}
-	return Ask
+	return Escalate
 }
--- a/cascade/confidence_test.go
+++ b/cascade/confidence_test.go
@@ -11,17 +11,19 @@
 )
 
 // escalates reports whether Judge asks a larger model.
-func (l Ladder) escalates(confidence int, o Outlook) bool { return l.Judge(confidence, o) == Ask }
+func (l EscalationPolicy) escalates(confidence int, o Estimate) bool {
+	return l.Decide(confidence, o) == Escalate
+}
 
-func idleOutlook() Outlook {
-	return Outlook{First: 200 * time.Millisecond, Objective: 2 * time.Second}
+func idleOutlook() Estimate {
+	return Estimate{First: 200 * time.Millisecond, Objective: 2 * time.Second}
 }
 
 func TestLowConfidenceEscalatesWhenIdle(t *testing.T) {
 	is := is.New(t)
-	l := Ladder{Doubt: DefaultDoubt}
-	is.True(l.escalates(DefaultDoubt-1, idleOutlook()))
-	is.True(!l.escalates(DefaultDoubt, idleOutlook()))
+	l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
+	is.True(l.escalates(DefaultMinConfidence-1, idleOutlook()))
+	is.True(!l.escalates(DefaultMinConfidence, idleOutlook()))
 }
 
 // Guards against all answers being late when half of the engines have crashed: the
@@ -30,12 +32,12 @@
 // lower the confidence must be for an answer to be dropped.
 func TestThresholdFallsWithEngineLoad(t *testing.T) {
 	is := is.New(t)
-	l := Ladder{Doubt: DefaultDoubt}
+	l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
 	o := idleOutlook()
-	o.Busy = (relaxedLoad + maxLoad) / 2
-	is.True(!l.escalates(DefaultDoubt-1, o))
-	is.True(l.escalates(DefaultDoubt/2-1, o))
-	o.Busy = maxLoad
+	o.Utilization = (relaxedLoad + maxLoad) / 2
+	is.True(!l.escalates(DefaultMinConfidence-1, o))
+	is.True(l.escalates(DefaultMinConfidence/2-1, o))
+	o.Utilization = maxLoad
 	is.True(!l.escalates(0, o))
 }
 
@@ -43,15 +45,15 @@
 // dropped that would otherwise be kept.
 func TestDelayAndLoadNeverCauseEscalation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Ladder{Doubt: DefaultDoubt}
+		l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
 		ms := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3000).Draw(t, name)) * time.Millisecond
 		}
-		o := Outlook{Elapsed: ms("elapsed"), Wait: ms("wait"), First: ms("first"), Objective: 2 * time.Second, Busy: rapid.Float64Range(0, 2).Draw(t, "busy")}
+		o := Estimate{Elapsed: ms("elapsed"), Wait: ms("wait"), First: ms("first"), Objective: 2 * time.Second, Utilization: rapid.Float64Range(0, 2).Draw(t, "busy")}
 		worse := o
 		worse.Elapsed += ms("more_elapsed")
 		worse.Wait += ms("more_wait")
-		worse.Busy += rapid.Float64Range(0, 1).Draw(t, "more_busy")
+		worse.Utilization += rapid.Float64Range(0, 1).Draw(t, "more_busy")
 		confidence := rapid.IntRange(0, 100).Draw(t, "confidence")
 		if l.escalates(confidence, worse) && !l.escalates(confidence, o) {
 			t.Fatalf("escalated at %+v but not at %+v", worse, o)
--- a/command/standin/platform.go
+++ b/command/standin/platform.go
@@ -201,13 +201,13 @@
 		return
 	}
 	if _, err := store.Put(context.Background(), key, value, lease); err == nil {
-		printLine(Printed{Engine: e.config.ID, LeftMS: time.Now().UnixMilli()})
+		printLine(EngineLine{Engine: e.config.ID, LeftMS: time.Now().UnixMilli()})
 	}
 }
 
-// Printed is a line that an engine prints: that a run started, or that the store
+// EngineLine is a line that an engine prints: that a run started, or that the store
 // accepted that the engine leaves.
-type Printed struct {
+type EngineLine struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id,omitempty"`      // request that runs
 	AtMS   int64  `json:"at_ms,omitempty"`   // start of the run, Unix time
@@ -218,10 +218,10 @@
 // printRun prints a run when it starts, before its response, so that no run is lost
 // if the process ends.
 func printRun(run platformtest.Run) {
-	printLine(Printed{Engine: run.Engine, ID: run.ID, AtMS: run.At.UnixMilli(), Fault: string(run.Fault)})
+	printLine(EngineLine{Engine: run.Engine, ID: run.ID, AtMS: run.At.UnixMilli(), Fault: string(run.Fault)})
 }
 
-func printLine(p Printed) {
+func printLine(p EngineLine) {
 	line, err := json.Marshal(p)
 	if err == nil {
 		fmt.Fprintln(os.Stdout, string(line))
--- a/config/delta.go
+++ b/config/delta.go
@@ -26,8 +26,8 @@
 	return encode(plain, zstd.WithEncoderLevel(zstd.SpeedFastest))
 }
 
-// Plain returns the JSON of a stored envelope, compressed or not.
-func Plain(stored []byte) ([]byte, error) {
+// Decompress returns the JSON of a stored envelope, compressed or not.
+func Decompress(stored []byte) ([]byte, error) {
 	if !bytes.HasPrefix(stored, zstdMagic) {
 		return stored, nil
 	}
--- a/config/envelope.go
+++ b/config/envelope.go
@@ -41,7 +41,7 @@
 
 // Unmarshal decodes a stored envelope, compressed or not.
 func Unmarshal(b []byte) (Envelope, error) {
-	plain, err := Plain(b)
+	plain, err := Decompress(b)
 	if err != nil {
 		return Envelope{}, err
 	}
--- a/configwatch/faults_test.go
+++ b/configwatch/faults_test.go
@@ -186,7 +186,7 @@
 	rev := putConfig(t, s, 3)
 	a, b := New(s, fc, discardLog), New(s, fc, discardLog)
 	changes := 0
-	b.OnNews(func() { changes++ })
+	b.OnChange(func() { changes++ })
 	a.Refresh(ctx)
 	peer := &peerStub{w: a, down: true}
 	to := NewTopic(b, func(string) peerpb.Peer { return peer })
@@ -200,7 +200,7 @@
 	is.Equal(changes, 1) // it announces the change
 	_, ok := b.Age()
 	is.True(!ok)
-	to.Merge(ctx, peers.Received{Digest: d, Asked: fc.Now()})
+	to.Merge(ctx, peers.Received{Digest: d, RequestedAt: fc.Now()})
 	age, ok := b.Age()
 	is.True(ok && age == 0)
 
--- a/configwatch/topic.go
+++ b/configwatch/topic.go
@@ -46,8 +46,8 @@
 	// The peer's revision was confirmed to be current ConfigAgeMs before the
 	// peer responded. Ours is at least as new, so it was current then too. The
 	// time of the request is a lower bound for the time of the response.
-	if !d.Asked.IsZero() && d.ConfigAgeMs >= 0 && int64(t.w.Revision()) >= d.ConfigRevision {
-		t.w.confirm(d.Asked.Add(-time.Duration(d.ConfigAgeMs) * time.Millisecond))
+	if !d.RequestedAt.IsZero() && d.ConfigAgeMs >= 0 && int64(t.w.Revision()) >= d.ConfigRevision {
+		t.w.confirm(d.RequestedAt.Add(-time.Duration(d.ConfigAgeMs) * time.Millisecond))
 	}
 	return false
 }
--- a/configwatch/watcher.go
+++ b/configwatch/watcher.go
@@ -85,9 +85,9 @@
 // Option configures a new Watcher.
 type Option func(*Watcher)
 
-// HoldsWhen makes the watcher watch the KV only while shouldWatch returns true.
+// WatchWhen makes the watcher watch the KV only while shouldWatch returns true.
 // Otherwise it relies on revisions from peers (Offer, OfferDelta).
-func HoldsWhen(shouldWatch func() bool) Option {
+func WatchWhen(shouldWatch func() bool) Option {
 	return func(w *Watcher) { w.shouldWatch = shouldWatch }
 }
 
@@ -105,9 +105,9 @@
 // share the watch; it must be set before Run.
 func (w *Watcher) OnKey(f func(key string)) { w.onKey = f }
 
-// OnNews sets the callback for after a new revision took effect; it must be set
+// OnChange sets the callback for after a new revision took effect; it must be set
 // before Run.
-func (w *Watcher) OnNews(f func()) { w.onChange = f }
+func (w *Watcher) OnChange(f func()) { w.onChange = f }
 
 // Table returns the current table, or nil before the first configuration.
 func (w *Watcher) Table() *route.Table {
@@ -169,7 +169,7 @@
 	if rev <= w.Revision() {
 		return false
 	}
-	plain, err := config.Plain(value)
+	plain, err := config.Decompress(value)
 	var env config.Envelope
 	if err == nil {
 		env, err = config.Unmarshal(plain)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -4,27 +4,27 @@
 
 // Times are the stages of a shutdown, each measured from its start.
 type Times struct {
-	// TakesAll is how long requests are admitted regardless of the time they
+	// AcceptAllFor is how long requests are admitted regardless of the time they
 	// need, as their senders cannot yet know of the shutdown.
-	TakesAll time.Duration
-	// Stays is the minimum time for which the process serves: until then new
+	AcceptAllFor time.Duration
+	// ServeAtLeast is the minimum time for which the process serves: until then new
 	// connections arrive as usual.
-	Stays time.Duration
+	ServeAtLeast time.Duration
 	// End is when requests still in flight are cancelled. The process must be
 	// able to run for LastAnswers longer.
 	End time.Duration
 }
 
 const (
-	// LookAway is how long the platform's balancer takes to stop sending
+	// BalancerDelay is how long the platform's balancer takes to stop sending
 	// connections to an instance that reports not ready: two probes, a second
 	// apart, plus the duration of a probe. If the process exited sooner,
 	// connections made meanwhile would be refused.
-	LookAway = 3200 * time.Millisecond
-	// LastAnswers is how long answers may take to be written after the
+	BalancerDelay = 3200 * time.Millisecond
+	// FlushTimeout is how long answers may take to be written after the
 	// remaining requests were cancelled. An instance limited to a fifth of a
 	// core that is throttled runs again within a tenth of a second.
-	LastAnswers = 200 * time.Millisecond
+	FlushTimeout = 200 * time.Millisecond
 	// pollInterval is how often Drain checks the number of requests in flight.
 	pollInterval = 50 * time.Millisecond
 )
@@ -35,20 +35,20 @@
 func (g *Gate) Drain(t Times, closeIdle func()) {
 	g.Begin(t)
 	end := g.stop.Load().end
-	g.clock.Sleep(min(t.Stays, t.End))
+	g.clock.Sleep(min(t.ServeAtLeast, t.End))
 	closeIdle()
 	if g.waitIdle(end) {
 		return
 	}
 	g.Close()
-	g.cancelAll(ErrCut)
-	g.waitIdle(g.clock.Now().Add(LastAnswers))
+	g.cancelAll(ErrDeadline)
+	g.waitIdle(g.clock.Now().Add(FlushTimeout))
 }
 
 // Begin starts the shutdown. Drain calls it first.
 func (g *Gate) Begin(t Times) {
 	now := g.clock.Now()
-	g.stop.Store(&stop{started: now, acceptAllUntil: now.Add(t.TakesAll), end: now.Add(t.End)})
+	g.stop.Store(&stop{started: now, acceptAllUntil: now.Add(t.AcceptAllFor), end: now.Add(t.End)})
 }
 
 // waitIdle waits until nothing is in flight and then closes the gate. It reports
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -25,11 +25,11 @@
 		if !g.Admits(span("before")) {
 			t.Fatal("refused although no shutdown is in progress")
 		}
-		times := Times{TakesAll: span("takes all"), Stays: span("stays"), End: span("end")}
+		times := Times{AcceptAllFor: span("takes all"), ServeAtLeast: span("stays"), End: span("end")}
 		g.Begin(times)
 		at, needs := span("comes"), span("needs")
 		clock.Advance(at)
-		fits := at < times.TakesAll || at+needs <= times.End
+		fits := at < times.AcceptAllFor || at+needs <= times.End
 		if g.Admits(needs) != fits {
 			t.Fatalf("arrived after %v, needs %v, times %+v: admitted: %v", at, needs, times, !fits)
 		}
@@ -87,16 +87,16 @@
 	return s.clock.Since(started)
 }
 
-var testTimes = Times{TakesAll: time.Second, Stays: 2 * time.Second, End: 5 * time.Second}
+var testTimes = Times{AcceptAllFor: time.Second, ServeAtLeast: 2 * time.Second, End: 5 * time.Second}
 
 // A process without requests in flight still serves for Times.Stays before it exits.
 func TestIdleProcessServesForMinimumTime(t *testing.T) {
 	is := is.New(t)
 	s := startDrain(testTimes, 0)
-	s.advance(t, testTimes.Stays)
+	s.advance(t, testTimes.ServeAtLeast)
 	<-s.idle
 	<-s.ended
-	is.Equal(s.clock.Since(s.gate.stop.Load().started), testTimes.Stays)
+	is.Equal(s.clock.Since(s.gate.stop.Load().started), testTimes.ServeAtLeast)
 	is.True(s.gate.Closed())
 }
 
@@ -112,7 +112,7 @@
 	}
 	is.True(s.gate.Enter())
 	is.True(s.gate.Admits(time.Second))
-	s.clock.Advance(testTimes.Stays)
+	s.clock.Advance(testTimes.ServeAtLeast)
 	<-s.idle
 	is.True(!s.gate.closeIfIdle())
 	is.True(!s.gate.Closed())
@@ -158,17 +158,17 @@
 func TestRequestsPastDeadlineAreCancelled(t *testing.T) {
 	is := is.New(t)
 	s := startDrain(testTimes, 1)
-	ctx, unbind := s.gate.Bound(context.Background())
+	ctx, unbind := s.gate.BindContext(context.Background())
 	defer unbind()
-	s.advance(t, testTimes.Stays)
+	s.advance(t, testTimes.ServeAtLeast)
 	<-s.idle
 	took := s.finish(t)
-	is.True(errors.Is(context.Cause(ctx), ErrCut))
-	is.Equal(took, testTimes.End-testTimes.Stays+LastAnswers)
+	is.True(errors.Is(context.Cause(ctx), ErrDeadline))
+	is.Equal(took, testTimes.End-testTimes.ServeAtLeast+FlushTimeout)
 	is.True(s.gate.Closed())
-	late, unbindLate := s.gate.Bound(context.Background())
+	late, unbindLate := s.gate.BindContext(context.Background())
 	defer unbindLate()
-	is.True(errors.Is(context.Cause(late), ErrCut)) // immediately, or a request would still be sent
+	is.True(errors.Is(context.Cause(late), ErrDeadline)) // immediately, or a request would still be sent
 }
 
 // A bound context ends with its parent's cause, and is not cancelled with ErrCut
@@ -179,16 +179,16 @@
 	own := errors.New("own")
 	type key struct{}
 	parent, cancel := context.WithCancelCause(context.WithValue(context.Background(), key{}, "value"))
-	ctx, unbind := g.Bound(parent)
+	ctx, unbind := g.BindContext(parent)
 	defer unbind()
 	is.Equal(ctx.Value(key{}), "value")
 	cancel(own)
 	<-ctx.Done()
 	is.True(errors.Is(context.Cause(ctx), own))
-	other, unbindOther := g.Bound(context.Background())
+	other, unbindOther := g.BindContext(context.Background())
 	unbindOther()
-	g.cancelAll(ErrCut)
-	is.True(!errors.Is(context.Cause(other), ErrCut))
+	g.cancelAll(ErrDeadline)
+	is.True(!errors.Is(context.Cause(other), ErrDeadline))
 }
 
 // Guards against a request that is sent to an endpoint after the end of the
@@ -198,9 +198,9 @@
 	is := is.New(t)
 	for range 1000 {
 		g := NewGate(clockwork.NewFakeClock())
-		ctx, unbind := g.Bound(context.Background())
-		g.cancelAll(ErrCut)
-		is.True(errors.Is(context.Cause(ctx), ErrCut))
+		ctx, unbind := g.BindContext(context.Background())
+		g.cancelAll(ErrDeadline)
+		is.True(errors.Is(context.Cause(ctx), ErrDeadline))
 		unbind()
 	}
 }
--- a/drain/gate.go
+++ b/drain/gate.go
@@ -9,9 +9,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrCut is the cancellation cause of the context of a request that has not been
+// ErrDeadline is the cancellation cause of the context of a request that has not been
 // answered by the end of the shutdown.
-var ErrCut = errors.New("process stops")
+var ErrDeadline = errors.New("process stops")
 
 // Gate admits and counts the requests of a process. It is safe for concurrent use
 // and lock-free.
@@ -63,8 +63,8 @@
 // connection, so that callers move to other instances.
 func (g *Gate) Stopping() bool { return g.stop.Load() != nil }
 
-// Since returns the time since the shutdown started; ok is false if none has.
-func (g *Gate) Since() (d time.Duration, ok bool) {
+// StopElapsed returns the time since the shutdown started; ok is false if none has.
+func (g *Gate) StopElapsed() (d time.Duration, ok bool) {
 	s := g.stop.Load()
 	if s == nil {
 		return 0, false
@@ -103,13 +103,13 @@
 	return now.Before(s.acceptAllUntil) || !now.Add(needs).After(s.end)
 }
 
-// Bound returns a context that is cancelled with ctx, and with cause ErrCut at the
+// BindContext returns a context that is cancelled with ctx, and with cause ErrCut at the
 // end of a shutdown.
 //
 // It is a child of the gate's context, so that cancelAll has ended it when it
 // returns. If a separate goroutine cancelled it, a request could still be sent to
 // an endpoint shortly after the end.
-func (g *Gate) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (g *Gate) BindContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	bound, cancel := context.WithCancelCause(withValues{g.drainCtx, ctx})
 	unbind := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	return bound, func() {
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -178,7 +178,7 @@
 	_ = engine.cmd.Wait() // the error reports the kill
 	ids := map[string]bool{}
 	for line := range strings.Lines(engine.out.String()) {
-		var printed standin.Printed
+		var printed standin.EngineLine
 		if json.Unmarshal([]byte(line), &printed) == nil && printed.ID != "" {
 			ids[printed.ID] = true
 		}
--- a/edge/module.go
+++ b/edge/module.go
@@ -67,7 +67,7 @@
 			newMetrics,
 			func(s *Settings) kv.Client { return platform.NewStore(s.Store) },
 			func() fleet.Decoder { return platform.Values{} },
-			func() call.Wire { return platform.Headers{} },
+			func() call.HeaderCodec { return platform.Headers{} },
 			newFollower,
 			newRollouts,
 			place.NewBoard,
@@ -107,7 +107,7 @@
 }
 
 func (s *Settings) entry(b boot) fleet.Entry {
-	return fleet.Entry{Instance: s.Instance, Domain: s.Domain, Address: s.Listen.Peers, Loads: s.Listen.Loads, Boot: int64(b)}
+	return fleet.Entry{Instance: s.Instance, Domain: s.Domain, Address: s.Listen.Peers, LoadAddress: s.Listen.Loads, Boot: int64(b)}
 }
 
 func newFollower(s *Settings, b boot, c kv.Client, dec fleet.Decoder, clock clockwork.Clock, log *slog.Logger) *fleet.Follower {
@@ -138,14 +138,14 @@
 	return ratelimit.New(ratelimit.Deps{Instance: s.Instance, Domain: s.Domain, Entries: func() []fleet.Entry { return f.View().Entries }, Clock: clock, Log: log})
 }
 
-func newLoads(s *Settings, f *fleet.Follower, board *place.Board, budget *retry.Budget, limits *ratelimit.Limits, clock clockwork.Clock, log *slog.Logger) *mesh.Loads {
-	return mesh.NewLoads(mesh.LoadsDeps{Instance: s.Instance, Domain: s.Domain, Address: s.Listen.Loads, Fleet: f, Board: board, Budget: budget, Limits: limits,
+func newLoads(s *Settings, f *fleet.Follower, board *place.Board, budget *retry.Budget, limits *ratelimit.Limits, clock clockwork.Clock, log *slog.Logger) *mesh.LoadExchange {
+	return mesh.NewLoadExchange(mesh.LoadExchangeDeps{Instance: s.Instance, Domain: s.Domain, Address: s.Listen.Loads, Fleet: f, Board: board, Budget: budget, Limits: limits,
 		Clock: clock, Log: log})
 }
 
-func newIngress(s *Settings, f *fleet.Follower, wire call.Wire, board *place.Board, rates *place.Rates, budget *retry.Budget, r *rollout.Controller, q *quarantine.Table, limits *ratelimit.Limits,
+func newIngress(s *Settings, f *fleet.Follower, wire call.HeaderCodec, board *place.Board, rates *place.Rates, budget *retry.Budget, r *rollout.Controller, q *quarantine.Table, limits *ratelimit.Limits,
 	gate *drain.Gate, clock clockwork.Clock, log *slog.Logger, m *telemetry.Metrics) *ingress.Server {
-	return ingress.New(ingress.Deps{Instance: s.Instance, Domain: s.Domain, Fleet: f, Wire: wire, Board: board, Rates: rates, Budget: budget, Rollouts: r, Quarantine: q, Limits: limits,
-		Ladder: cascade.Ladder{Doubt: cascade.DefaultDoubt}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyMemoryDivisor, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedFor: lapsedFor(s),
+	return ingress.New(ingress.Deps{Instance: s.Instance, Domain: s.Domain, Fleet: f, HeaderCodec: wire, Board: board, Rates: rates, Budget: budget, Rollouts: r, Quarantine: q, Limits: limits,
+		EscalationPolicy: cascade.EscalationPolicy{MinConfidence: cascade.DefaultMinConfidence}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyMemoryDivisor, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedGrace: lapsedFor(s),
 		Clock: clock, Log: log, Scope: m.Scope.SubScope("ingress")})
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -25,7 +25,7 @@
 
 func runMesh(lc fx.Lifecycle, m *mesh.Mesh) { background.Run(lc, m.Run, nil) }
 
-func runLoads(lc fx.Lifecycle, l *mesh.Loads) { background.Run(lc, l.Run, nil) }
+func runLoads(lc fx.Lifecycle, l *mesh.LoadExchange) { background.Run(lc, l.Run, nil) }
 
 func runRollouts(lc fx.Lifecycle, r *rollout.Controller) {
 	background.Run(lc, background.Every(rollout.Interval, r.Tick), nil)
@@ -66,7 +66,7 @@
 	// itself among the known entries it watches the store itself, at several calls a
 	// second.
 	select {
-	case <-r.fleet.Known():
+	case <-r.fleet.ConfigKnown():
 	case <-ctx.Done():
 		return
 	}
@@ -78,7 +78,7 @@
 			return
 		}
 		wait = registrationRetry
-		if r.fleet.StoreAway() {
+		if r.fleet.StoreUnreachable() {
 			continue
 		}
 		if err := r.renew(ctx); err != nil {
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -102,7 +102,7 @@
 func (p serverParams) dump() Dump {
 	v := p.Fleet.View()
 	d := Dump{Instance: p.EntrySettings.Instance, Domain: p.EntrySettings.Domain, Boot: int64(p.Boot), Ready: p.Ingress.Ready(), Stopping: p.Gate.Stopping(),
-		InFlight: p.Gate.InFlight(), Revision: int64(v.Revision), AgeMS: -1, Away: p.Fleet.StoreAway(), Entries: v.Entries,
+		InFlight: p.Gate.InFlight(), Revision: int64(v.Revision), AgeMS: -1, Away: p.Fleet.StoreUnreachable(), Entries: v.Entries,
 		Rollouts: p.Rollouts.State(), Mesh: p.Mesh.State(), Quarantine: p.QuarantineTable.State(), Limits: p.Limits.State()}
 	if v.Config != nil {
 		d.Config = v.Config.Version
@@ -166,7 +166,7 @@
 	gin.SetMode(gin.ReleaseMode)
 	callers := newListener("callers", p.EntrySettings.Listen.Callers, p.Ingress.Handler())
 	if p.Options.Callers != nil {
-		callers.Use(p.Options.Callers)
+		callers.SetListener(p.Options.Callers)
 	}
 	all := []*listen.Listener{newListener("peers", p.EntrySettings.Listen.Peers, p.peers()), callers, newListener("readiness", p.EntrySettings.Listen.Readiness, p.readiness())}
 	if p.EntrySettings.Listen.Metrics != "" {
@@ -201,7 +201,7 @@
 	p.Gate.Drain(drainTimes(p.EntrySettings.Bounds.Grace()), callers.CloseIdle)
 	inFlight := p.Gate.InFlight()
 	busy := callers.Close(closeTimeout)
-	took, _ := p.Gate.Since()
+	took, _ := p.Gate.StopElapsed()
 	p.Log.Info("edge: stopped.", "in_flight", inFlight, "busy_connections", busy, "took_ms", took.Milliseconds())
 }
 
@@ -209,8 +209,8 @@
 // run as long as possible.
 func drainTimes(grace time.Duration) drain.Times {
 	return drain.Times{
-		TakesAll: min(acceptAllFor, grace/3),
-		Stays:    min(drain.LookAway, grace/2),
-		End:      max(0, grace-drain.LastAnswers-closeTimeout-exitAllowance),
+		AcceptAllFor: min(acceptAllFor, grace/3),
+		ServeAtLeast: min(drain.BalancerDelay, grace/2),
+		End:          max(0, grace-drain.FlushTimeout-closeTimeout-exitAllowance),
 	}
 }
--- a/endpoints/poll.go
+++ b/endpoints/poll.go
@@ -33,9 +33,9 @@
 
 // Assignments decides what this entry polls; peers.Table implements it.
 type Assignments interface {
-	// Holds reports whether this entry is among the n entries of its failure
+	// IsResponsible reports whether this entry is among the n entries of its failure
 	// domain that are assigned subject.
-	Holds(subject string, n int) bool
+	IsResponsible(subject string, n int) bool
 }
 
 // Poller reads load reports and the instance list.
@@ -71,7 +71,7 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	if p.listURL != "" && p.assignments.Holds("instances", listPollers) {
+	if p.listURL != "" && p.assignments.IsResponsible("instances", listPollers) {
 		wg.Add(1)
 		go func() { defer wg.Done(); p.pollList(ctx) }()
 	}
@@ -94,7 +94,7 @@
 		}()
 	}
 	for _, b := range t.Engines(p.domain) {
-		if p.assignments.Holds(b.Name, 1) {
+		if p.assignments.IsResponsible(b.Name, 1) {
 			work <- b
 		}
 	}
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -99,14 +99,14 @@
 // View is the newest view.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Known is closed once a configuration is known.
-func (f *Follower) Known() <-chan struct{} { return f.configKnown }
+// ConfigKnown is closed once a configuration is known.
+func (f *Follower) ConfigKnown() <-chan struct{} { return f.configKnown }
 
 // Since returns the changes after a revision, for entries that are behind.
 func (f *Follower) Since(after kv.Revision) Changes { return f.items.Since(after) }
 
-// StoreAway reports whether the store does not answer this entry.
-func (f *Follower) StoreAway() bool {
+// StoreUnreachable reports whether the store does not answer this entry.
+func (f *Follower) StoreUnreachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.storeUnreachable
@@ -171,7 +171,7 @@
 }
 
 // Watching reports whether this entry is a watcher and the store answers it.
-func (f *Follower) Watching() bool { return !f.StoreAway() && f.isWatcher() }
+func (f *Follower) Watching() bool { return !f.StoreUnreachable() && f.isWatcher() }
 
 // isWatcher reports whether this entry watches the store for all.
 func (f *Follower) isWatcher() bool { return f.View().IsWatcher(f.self.Instance) }
--- a/fleet/follower_test.go
+++ b/fleet/follower_test.go
@@ -161,7 +161,7 @@
 	x.waitFor(t, func(v *fleet.View) bool { return version(v) == 1 })
 	x.flakyStore.fail(errors.New("turned away"))
 	x.config(2)
-	x.waitFor(t, func(*fleet.View) bool { return x.f.StoreAway() })
+	x.waitFor(t, func(*fleet.View) bool { return x.f.StoreUnreachable() })
 	rev, events, err := x.store.WatchOnce(context.Background(), "", true, x.f.View().Revision, time.Second)
 	x.is.NoErr(err)
 	x.f.Merge("i2", fleet.Changes{Revision: rev, Events: events}, 0)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -12,11 +12,11 @@
 
 // Entry is the registration of an entry.
 type Entry struct {
-	Instance string `json:"instance"`
-	Domain   string `json:"domain"`
-	Address  string `json:"address"` // where it serves peers, IP:port
-	Loads    string `json:"loads"`   // where it receives load datagrams, IP:port
-	Boot     int64  `json:"boot"`    // identifies this run of its process
+	Instance    string `json:"instance"`
+	Domain      string `json:"domain"`
+	Address     string `json:"address"` // where it serves peers, IP:port
+	LoadAddress string `json:"loads"`   // where it receives load datagrams, IP:port
+	Boot        int64  `json:"boot"`    // identifies this run of its process
 }
 
 // EntryPrefix is the prefix under which entries register.
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -117,7 +117,7 @@
 	g.connPools.prune(q.table)
 	// The incarnation keeps ids unique across restarts: the ledger bills each
 	// id once, so a reused id would go unbilled.
-	q.rid = fmt.Sprintf("%s-%s-%d", g.Instance, strconv.FormatInt(g.Life, 36), g.seq.Add(1))
+	q.rid = fmt.Sprintf("%s-%s-%d", g.Instance, strconv.FormatInt(g.Incarnation, 36), g.seq.Add(1))
 	q.route.ID = q.rid
 	q.route.APIKey, q.route.Session = apiKey(q.c), q.c.GetHeader(openai.HeaderSessionID)
 	g.readPins(q)
@@ -209,7 +209,7 @@
 	}
 	ok := h.score >= st.MinScore
 	if g.Planner != nil {
-		g.Planner.Learn(q.name, i, q.promptBytes(), ok)
+		g.Planner.Record(q.name, i, q.promptBytes(), ok)
 	}
 	return ok
 }
@@ -227,7 +227,7 @@
 	if g.Planner == nil {
 		return true
 	}
-	return g.Planner.Worth(q.name, i, q.promptBytes(), q.table.SkipBelow(q.name, steps[i].Model, steps[i+1].Model))
+	return g.Planner.ShouldTry(q.name, i, q.promptBytes(), q.table.SkipBelow(q.name, steps[i].Model, steps[i+1].Model))
 }
 
 // open claims q and opens its ledger record once, before its first dispatch.
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -19,7 +19,7 @@
 	if q.service != nil {
 		path = ServicePrefix + q.name + q.service.path
 	}
-	return quarantine.Of(customer, http.MethodPost, "", path, q.body)
+	return quarantine.FingerprintOf(customer, http.MethodPost, "", path, q.body)
 }
 
 // checkQuarantine refuses a request that is quarantined for crashing back ends.
@@ -31,12 +31,12 @@
 	if !v.Quarantined {
 		return nil
 	}
-	return &route.Refusal{Code: "quarantined", Status: http.StatusServiceUnavailable, Message: "back ends crashed under this request", RetryAfter: v.For}
+	return &route.Refusal{Code: "quarantined", Status: http.StatusServiceUnavailable, Message: "back ends crashed under this request", RetryAfter: v.RetryAfter}
 }
 
 // recordCrash reports a failed attempt to the quarantine if its back end crashed.
 func (g *Gateway) recordCrash(q *request, b route.BackendInfo, a attempt) {
-	if g.Quarantine == nil || a.notRun || a.timedOut || !g.probes.Ended(b.Address) {
+	if g.Quarantine == nil || a.notRun || a.timedOut || !g.probes.Exited(b.Address) {
 		return
 	}
 	epoch := g.Clock.Now().Truncate(restartWindow).UnixMilli()
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -84,7 +84,7 @@
 			last = postPrompt(t, servers[i%3], poisonPrompt, stream)
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Hear(from.Tell())
+					to.Merge(from.Reports())
 				}
 			}
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,23 +64,23 @@
 type Timeouts struct {
 	FirstToken time.Duration
 	Idle       time.Duration
-	Whole      time.Duration
+	Unary      time.Duration
 }
 
 // Deps are the dependencies of a Gateway. Fields marked optional may be nil.
 type Deps struct {
-	Instance  string
-	Life      int64 // incarnation of the process; makes request ids unique across restarts
-	Domain    string
-	Tables    Tables
-	Endpoints *endpoints.Table
-	Keys      *session.Keyring // optional: without it, sessions are pinned by hash only
-	Bill      Biller           // optional: without it, nothing is billed
-	Claims    Claimer          // optional: without it, idempotency keys are not claimed
-	Guard     Guard            // optional: without it, no version is guarded
-	Rater     rater.Rater      // optional: without it, answers are not rated
-	Planner   *cascade.Planner // optional: without it, every step of a cascade is tried
-	Gate      *drain.Gate      // optional: without it, the gateway never drains
+	Instance    string
+	Incarnation int64 // incarnation of the process; makes request ids unique across restarts
+	Domain      string
+	Tables      Tables
+	Endpoints   *endpoints.Table
+	Keys        *session.Keyring // optional: without it, sessions are pinned by hash only
+	Bill        Biller           // optional: without it, nothing is billed
+	Claims      Claimer          // optional: without it, idempotency keys are not claimed
+	Guard       Guard            // optional: without it, no version is guarded
+	Rater       rater.Rater      // optional: without it, answers are not rated
+	Planner     *cascade.Planner // optional: without it, every step of a cascade is tried
+	Gate        *drain.Gate      // optional: without it, the gateway never drains
 	// Quarantine tracks requests that crash back ends; optional: without it, none is
 	// quarantined.
 	Quarantine *quarantine.Table
@@ -99,7 +99,7 @@
 type Gateway struct {
 	Deps
 	connPools *connPools
-	probes    upstream.Probes
+	probes    upstream.Prober
 	budget    *retryBudget
 	ratings   chan rating
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -62,8 +62,8 @@
 
 // testDeps are the dependencies of a gateway in fd-1 with configuration doc.
 func testDeps(doc *config.Document, fc clockwork.Clock) Deps {
-	return Deps{Instance: "e1", Life: 1, Domain: "fd-1", Tables: fixedTables{route.NewTable(1, doc)}, Endpoints: endpoints.NewTable(fc),
-		Timeouts: Timeouts{FirstToken: testFirstToken, Idle: testFirstToken, Whole: testFirstToken}, Clock: fc,
+	return Deps{Instance: "e1", Incarnation: 1, Domain: "fd-1", Tables: fixedTables{route.NewTable(1, doc)}, Endpoints: endpoints.NewTable(fc),
+		Timeouts: Timeouts{FirstToken: testFirstToken, Idle: testFirstToken, Unary: testFirstToken}, Clock: fc,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Scope: tally.NoopScope}
 }
 
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -39,7 +39,7 @@
 // recordLimit records the rate limit advertised in the headers of an answer.
 func (g *Gateway) recordLimit(b route.BackendInfo, h http.Header) {
 	if g.Limits != nil {
-		g.Limits.Named(limitedEndpoint(b), ratelimit.Parse(h.Get(openai.HeaderRateLimit)))
+		g.Limits.Observe(limitedEndpoint(b), ratelimit.Parse(h.Get(openai.HeaderRateLimit)))
 	}
 }
 
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -59,7 +59,7 @@
 			served++
 		}
 		for _, l := range limits {
-			l.Learn(limits[0].Tell())
+			l.Merge(limits[0].Reports())
 		}
 		fc.Advance(50 * time.Millisecond)
 	}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -152,7 +152,7 @@
 	defer cancel()
 	first := g.Timeouts.FirstToken
 	if !s.streams() {
-		first = g.Timeouts.Whole
+		first = g.Timeouts.Unary
 	}
 	wd := g.startWatchdog(cancel, first)
 	defer wd.timer.Stop()
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -27,7 +27,7 @@
 			g.refuseNotRun(c, errDraining)
 			return
 		}
-		ctx, unbind := g.Gate.Bound(c.Request.Context())
+		ctx, unbind := g.Gate.BindContext(c.Request.Context())
 		defer unbind()
 		c.Request = c.Request.WithContext(ctx)
 		if ref := handle(c); ref != nil {
@@ -39,7 +39,7 @@
 // cutByDrain reports whether the request was ended by the end of a planned stop
 // rather than by its caller.
 func cutByDrain(c *gin.Context) bool {
-	return errors.Is(context.Cause(c.Request.Context()), drain.ErrCut)
+	return errors.Is(context.Cause(c.Request.Context()), drain.ErrDeadline)
 }
 
 // codeStopped is the error code of a request that a planned stop cut off after a
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -60,9 +60,9 @@
 		halts: map[string]bool{}, counts: map[string]map[source]counts{}, statistics: map[string]*cusum{}}
 }
 
-// OnNews sets the func to call after this entry halts a version or reads a new
+// OnHalt sets the func to call after this entry halts a version or reads a new
 // halt from the KV. It must be called before the guard is used.
-func (g *Guard) OnNews(f func()) { g.onHalt = f }
+func (g *Guard) OnHalt(f func()) { g.onHalt = f }
 
 // Halted implements route.Halts.
 func (g *Guard) Halted(subject string) bool {
@@ -115,8 +115,8 @@
 	return !known
 }
 
-// Stored records a halt found in the KV under key.
-func (g *Guard) Stored(key string) {
+// RecordStoredHalt records a halt found in the KV under key.
+func (g *Guard) RecordStoredHalt(key string) {
 	subject, ok := strings.CutPrefix(key, config.HaltPrefix)
 	if !ok || subject == "" {
 		return
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -78,7 +78,7 @@
 	_, kvs, err := store.Get(ctx, config.HaltPrefix, true)
 	is.NoErr(err)
 	fresh := newGuard("b")
-	fresh.Stored(kvs[0].Key)
+	fresh.RecordStoredHalt(kvs[0].Key)
 	is.True(fresh.Halted(subject))
 }
 
--- a/ingress/buffered.go
+++ b/ingress/buffered.go
@@ -94,7 +94,7 @@
 	}
 	x.runs++
 	body, err := x.readAnswer(c)
-	took := c.ticket.First()
+	took := c.ticket.FirstEvent()
 	if err != nil && cutByStop(ctx) {
 		x.end(c, place.Abandoned, "entry stops")
 		return errCutByStop
--- a/ingress/cluster_test.go
+++ b/ingress/cluster_test.go
@@ -98,7 +98,7 @@
 	}
 	for i, e := range f.all {
 		if i != entry {
-			e.loads.Hear(raw)
+			e.loads.Receive(raw)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	for i, e := range f.all {
 		if i != entry {
-			e.loads.Hear(raw)
+			e.loads.Receive(raw)
 		}
 	}
 }
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -13,7 +13,7 @@
 	if x.customer != nil {
 		customer = x.customer.Name
 	}
-	return quarantine.Of(customer, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
+	return quarantine.FingerprintOf(customer, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
 }
 
 // noteCrash records that the endpoint of an attempt crashed, if it did.
@@ -28,7 +28,7 @@
 func (s *Server) noteCrash(id string, fingerprint quarantine.Fingerprint, ep fleet.Endpoint, stage quarantine.Stage) bool {
 	group := s.Fleet.View().Group(ep.Service)
 	known := group != nil && (group.IsReady(ep.ID) || group.HasLapsed(ep.ID))
-	if !known || !s.prober.Ended(ep.Address) {
+	if !known || !s.prober.Exited(ep.Address) {
 		s.Log.Info("ingress: answer broke off, endpoint did not crash.", "id", id, "fingerprint", fingerprint.String(), "endpoint", ep.ID, "stage", stage.String(), "leaving", !known)
 		return false
 	}
@@ -43,7 +43,7 @@
 	if !v.Quarantined {
 		return nil
 	}
-	return &refusal{http.StatusServiceUnavailable, "quarantined", v.For}
+	return &refusal{http.StatusServiceUnavailable, "quarantined", v.RetryAfter}
 }
 
 // suspect reports whether endpoints crashed while they had the request. Such a request is
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -120,7 +120,7 @@
 		got := make(chan answer)
 		go func() { got <- w.do(http.MethodPost, path, poison) }()
 		<-began
-		fingerprint := quarantine.Of("cust", http.MethodPost, host, path, []byte(poison))
+		fingerprint := quarantine.FingerprintOf("cust", http.MethodPost, host, path, []byte(poison))
 		w.quarantine.Crashed(fingerprint, "x1", quarantine.Started)
 		w.quarantine.Crashed(fingerprint, "x2", quarantine.Started)
 		is.Equal((<-got).status, http.StatusBadGateway) // it may have run
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -37,7 +37,7 @@
 	r        *http.Request
 	received time.Time
 	deadline time.Time
-	facts    call.Facts
+	facts    call.RequestMetadata
 	view     *fleet.View
 	route    *fleet.Route
 	customer *fleet.Customer
@@ -137,7 +137,7 @@
 	endpoint     fleet.Endpoint
 	ticket       *place.Ticket
 	resp         *upstream.Response
-	head         call.Answer
+	head         call.ResponseMetadata
 	cancel       context.CancelFunc
 	watch        *watchdog
 	hold         *quarantine.Hold
@@ -183,9 +183,9 @@
 	ep := best.Endpoint
 	x.tried[ep.ID] = true
 	ctx, cancel := context.WithCancel(ctx)
-	c := &upstreamCall{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.Reading(x.modelName(), x.facts.Usage.Prompt)), cancel: cancel, attemptIndex: len(x.attempts), expectedWait: best.Standing.Wait}
+	c := &upstreamCall{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.PrefillTime(x.modelName(), x.facts.Usage.Prompt)), cancel: cancel, attemptIndex: len(x.attempts), expectedWait: best.Standing.Wait}
 	x.attempts = append(x.attempts, attempt{endpoint: ep, lapsed: group.HasLapsed(ep.ID), model: x.modelName(), confidence: -1, begun: s.Clock.Since(x.received)})
-	d := call.Directions{Endpoint: ep.Name, Remaining: x.remaining(), Model: x.modelName(), ResumeAfter: resumeAfter}
+	d := call.ForwardOptions{Endpoint: ep.Name, Remaining: x.remaining(), Model: x.modelName(), ResumeAfter: resumeAfter}
 	d.Urgency, d.SetUrgency = x.urgency()
 	if x.customer != nil {
 		d.Customer = x.customer.Name
@@ -193,22 +193,22 @@
 	c.watch = x.watch(c, cancel)
 	c.hold = s.Quarantine.Hold(x.fingerprint, cancel)
 	resp, err := upstream.Send(ctx, &upstream.Request{Address: ep.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectTimeout()})
+		Header: s.HeaderCodec.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectTimeout()})
 	if err != nil {
 		return c, nil, x.failedSend(ctx, c, err)
 	}
 	c.resp = resp
-	c.head = s.Wire.Answer(resp.Status, resp.Header)
+	c.head = s.HeaderCodec.Answer(resp.Status, resp.Header)
 	x.attempts[c.attemptIndex].status = resp.Status
 	x.attempts[c.attemptIndex].load = c.head.Load
 	x.attempts[c.attemptIndex].limit = c.head.Limit
 	x.attempts[c.attemptIndex].confidence = c.head.Confidence
 	if c.head.Limit > 0 || c.head.Sealed {
-		s.Limits.Named(ep, c.head.Limit)
+		s.Limits.Observe(ep, c.head.Limit)
 	}
-	c.ticket.Head(c.head.Load)
+	c.ticket.HeadReceived(c.head.Load)
 	if c.head.Load != nil {
-		s.Board.TookLoad(x.target(), *c.head.Load)
+		s.Board.ObserveLoad(x.target(), *c.head.Load)
 	}
 	return c, nil, nil
 }
@@ -250,7 +250,7 @@
 		}
 	case errors.As(err, &notSent):
 		x.end(c, place.Unreached, err.Error())
-		x.server.Rollouts.Lost(c.group, c.endpoint)
+		x.server.Rollouts.RecordLoss(c.group, c.endpoint)
 		return errNotSent
 	case errors.Is(context.Cause(ctx), errDeadline):
 		x.end(c, place.Broken, "deadline")
@@ -280,7 +280,7 @@
 // cutByStop reports whether a request's context ended because the time of a planned
 // stop was over, and not because its caller left, to which the log would otherwise
 // attribute it.
-func cutByStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), drain.ErrCut) }
+func cutByStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), drain.ErrDeadline) }
 
 // observe counts the answer for the roll-outs and, unless its version may be a slow
 // one, updates the estimates of how long answers take.
@@ -290,10 +290,10 @@
 	model, tokens := x.modelName(), x.facts.Usage.Prompt
 	a := rollout.Answer{Group: c.group, Endpoint: c.endpoint, Route: x.route.Name, Model: model, Failed: failed, Took: took, Wait: c.expectedWait}
 	if tokens > 0 {
-		a.Expected = s.Rates.First(model, tokens)
+		a.Expected = s.Rates.TimeToFirstEvent(model, tokens)
 	}
 	if tokens > 0 && took > 0 {
-		s.Board.Waited(x.target(), took-a.Expected)
+		s.Board.ObserveWait(x.target(), took-a.Expected)
 	}
 	usual := s.Rollouts.Observe(a)
 	if failed {
@@ -302,11 +302,11 @@
 	if usual {
 		s.Rates.Learn(model, tokens, took)
 	}
-	s.Rollouts.Keep(x.facts.Session, c.group, c.endpoint.Version)
+	s.Rollouts.RecordSession(x.facts.Session, c.group, c.endpoint.Version)
 }
 
 // mayRetry reports whether a request that may have run can be sent again.
-func (x *exchange) mayRetry(use retry.Use) bool {
+func (x *exchange) mayRetry(use retry.Purpose) bool {
 	if !x.route.MayRepeat() || x.runs >= x.route.MaxAttempts || x.remaining() <= minAttemptTime {
 		return false
 	}
@@ -337,7 +337,7 @@
 // writeHead sends an endpoint's status and headers to the caller.
 func (x *exchange) writeHead(c *upstreamCall, length int64) {
 	h := x.w.Header()
-	for name, values := range x.server.Wire.Returned(c.resp.Header) {
+	for name, values := range x.server.HeaderCodec.Returned(c.resp.Header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
--- a/ingress/faults_test.go
+++ b/ingress/faults_test.go
@@ -178,7 +178,7 @@
 	waitFor(t, func() bool { return len(w.runs()) == 1 })
 	cancel()
 	<-done
-	waitFor(t, func() bool { return w.runs()[0].Left })
+	waitFor(t, func() bool { return w.runs()[0].Disconnected })
 	waitFor(t, func() bool { return w.gate.InFlight() == 0 })
 	is.Equal(len(w.runs()), 1) // nor was it sent to another endpoint
 }
@@ -216,14 +216,14 @@
 	w.put("op/rollout/"+service, []byte(`{"service":"`+service+`","target":"v2","duration_s":1000}`))
 	w.sync()
 	order := w.fleet.View().Group(service).Rollout.Ordered
-	w.orders.Hear([]rollout.Told{{Service: service, Ordered: order, Halted: true}}, nil, nil)
+	w.orders.Merge([]rollout.OrderState{{Service: service, Ordered: order, Halted: true}}, nil, nil)
 	for _, e := range w.engines {
 		name, _ := e.Registration(false)
 		_, err := w.kv.Delete(context.Background(), name, false)
 		is.NoErr(err)
 	}
 	w.sync()
-	w.server.LapsedFor = time.Hour // however slow the machine is
+	w.server.LapsedGrace = time.Hour // however slow the machine is
 	for range 10 {
 		w.do(http.MethodPost, "/post/x", "body").whole(is)
 	}
--- a/ingress/harness_test.go
+++ b/ingress/harness_test.go
@@ -72,7 +72,7 @@
 	orders     *rollout.Controller
 	quarantine *quarantine.Table
 	limits     *ratelimit.Limits
-	loads      *mesh.Loads
+	loads      *mesh.LoadExchange
 	url        string
 	logs       *logBuffer
 }
@@ -129,13 +129,13 @@
 	budget := retry.New(retry.Bounds{Ratio: 0.9, Extra: 50, Window: 10 * time.Second}, func() int { return 1 }, clock)
 	w.stop = clockwork.NewFakeClock()
 	w.gate = drain.NewGate(w.stop)
-	w.server = ingress.New(ingress.Deps{Instance: name, Domain: "d1", Fleet: w.fleet, Wire: platform.Headers{}, Board: board, Rates: place.NewRates(),
-		Budget: budget, Rollouts: rollouts, Quarantine: w.quarantine, Limits: w.limits, Ladder: cascade.Ladder{Doubt: cascade.DefaultDoubt}, Gate: w.gate, BodyMemory: 1 << 20, MaxInFlight: 20, LapsedFor: time.Second,
+	w.server = ingress.New(ingress.Deps{Instance: name, Domain: "d1", Fleet: w.fleet, HeaderCodec: platform.Headers{}, Board: board, Rates: place.NewRates(),
+		Budget: budget, Rollouts: rollouts, Quarantine: w.quarantine, Limits: w.limits, EscalationPolicy: cascade.EscalationPolicy{MinConfidence: cascade.DefaultMinConfidence}, Gate: w.gate, BodyMemory: 1 << 20, MaxInFlight: 20, LapsedGrace: time.Second,
 		Clock: clock, Log: log, Scope: tally.NoopScope})
 	srv := httptest.NewServer(w.server.Handler())
 	t.Cleanup(srv.Close)
 	w.url = srv.URL
-	w.loads = mesh.NewLoads(mesh.LoadsDeps{Instance: name, Domain: "d1", Fleet: w.fleet, Board: board, Budget: budget, Limits: w.limits, Clock: clock, Log: log})
+	w.loads = mesh.NewLoadExchange(mesh.LoadExchangeDeps{Instance: name, Domain: "d1", Fleet: w.fleet, Board: board, Budget: budget, Limits: w.limits, Clock: clock, Log: log})
 	return w
 }
 
--- a/ingress/limit_test.go
+++ b/ingress/limit_test.go
@@ -32,7 +32,7 @@
 	clock := clockwork.NewFakeClock()
 	f := &limitedFleet{cluster: newCluster(t, n, clock), clock: clock}
 	for i := range engines {
-		e := platformtest.NewEngine(platformtest.EngineConfig{ID: fmt.Sprintf("e%d", i), Service: service, Domain: "d1", Version: "v1", HidesLoad: true})
+		e := platformtest.NewEngine(platformtest.EngineConfig{ID: fmt.Sprintf("e%d", i), Service: service, Domain: "d1", Version: "v1", OmitLoad: true})
 		srv := httptest.NewServer(e)
 		t.Cleanup(srv.Close)
 		e.Config.Address = strings.TrimPrefix(srv.URL, "http://")
--- a/ingress/models_test.go
+++ b/ingress/models_test.go
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	w := newEnv(t, 0)
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1",
-		ReadingRate: map[string]time.Duration{largeM: 1500 * time.Millisecond}})
+		PrefillTime: map[string]time.Duration{largeM: 1500 * time.Millisecond}})
 	w.sync()
 	w.do(http.MethodPost, "/resume/stream", "body", "X-Model", largeM, "X-Token-Usage", "1000,10").wholeStream(is)
 	is.Equal(len(w.runs()), 1)
--- a/ingress/pick.go
+++ b/ingress/pick.go
@@ -17,15 +17,15 @@
 		return nil, place.Ranked{}, refuseNoEndpoint
 	}
 	choice := x.server.Rollouts.Choose(group, rollout.Request{ID: x.facts.ID, Session: x.facts.Session, Route: x.route.Name})
-	want := place.Want{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.facts.SharedTokens(), Affinity: x.affinity()}
-	want.Reading = x.server.Rates.Reading(x.modelName(), want.SharedTokens)
+	want := place.Request{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.facts.SharedTokens(), Affinity: x.affinity()}
+	want.PrefillTime = x.server.Rates.PrefillTime(x.modelName(), want.SharedTokens)
 	opensIn := time.Duration(0) // when the first of the endpoints at their limits accepts a request
 	if x.server.Limits.Any() {
 		want.Closed = x.atLimit(choice, &opensIn)
 	}
-	ranked := x.server.Board.Rank(choice.First, want)
+	ranked := x.server.Board.Rank(choice.Preferred, want)
 	if len(ranked) == 0 || ranked[0].Standing.Ejected {
-		ranked = append(ranked, x.server.Board.Rank(choice.Then, want)...)
+		ranked = append(ranked, x.server.Board.Rank(choice.Fallback, want)...)
 	}
 	if len(ranked) == 0 {
 		ranked = x.server.Board.Rank(x.recentlyLapsed(choice.LastResort), want)
@@ -54,9 +54,9 @@
 // request leaves room to others: those that do would hardly be served at all.
 func (x *exchange) atLimit(choice rollout.Choice, opensIn *time.Duration) func(fleet.Endpoint) bool {
 	limits := x.server.Limits
-	x.headroom = limits.Leaves(x.target(), x.server.Rates.Reading(x.modelName(), x.facts.Usage.Prompt))
+	x.headroom = limits.Headroom(x.target(), x.server.Rates.PrefillTime(x.modelName(), x.facts.Usage.Prompt))
 	unlimited := func(ep fleet.Endpoint) bool { return limits.Limit(ep) == 0 }
-	if !slices.ContainsFunc(choice.First, unlimited) && !slices.ContainsFunc(choice.Then, unlimited) {
+	if !slices.ContainsFunc(choice.Preferred, unlimited) && !slices.ContainsFunc(choice.Fallback, unlimited) {
 		x.headroom = 0
 	}
 	return func(ep fleet.Endpoint) bool {
@@ -73,7 +73,7 @@
 	var out []fleet.Endpoint
 	now := x.server.Clock.Now()
 	for _, l := range all {
-		if now.Sub(l.Since) < x.server.LapsedFor {
+		if now.Sub(l.Since) < x.server.LapsedGrace {
 			out = append(out, l.Endpoint)
 		}
 	}
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -82,7 +82,7 @@
 	x.closeConnIfStopping()
 	h := x.w.Header()
 	if ref.retryAfter > 0 {
-		x.server.Wire.RetryAfter(h, ref.retryAfter)
+		x.server.HeaderCodec.RetryAfter(h, ref.retryAfter)
 	}
 	body, err := json.Marshal(refusalBody{ref.code})
 	if err != nil {
--- a/ingress/report.go
+++ b/ingress/report.go
@@ -86,7 +86,7 @@
 	if x.facts.Usage.Prompt > 0 {
 		attrs = append(attrs, slog.Int("prompt_tokens", x.facts.Usage.Prompt))
 	}
-	if since, ok := s.Gate.Since(); ok {
+	if since, ok := s.Gate.StopElapsed(); ok {
 		attrs = append(attrs, slog.Int64("stopping_ms", since.Milliseconds()))
 	}
 	if len(x.attempts) > 0 {
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -25,32 +25,32 @@
 	"github.com/lovageweir/lovageweir/upstream"
 )
 
-// Knowledge is the server's view of the fleet; fleet.Follower implements it.
-type Knowledge interface {
+// ConfigSource is the server's view of the fleet; fleet.Follower implements it.
+type ConfigSource interface {
 	View() *fleet.View
 	// Age returns how long ago the view was last known to be current.
 	Age() (time.Duration, bool)
-	// Known returns a channel that is closed once a configuration is known.
-	Known() <-chan struct{}
-	// StoreAway reports whether the store is known not to answer.
-	StoreAway() bool
+	// ConfigKnown returns a channel that is closed once a configuration is known.
+	ConfigKnown() <-chan struct{}
+	// StoreUnreachable reports whether the store is known not to answer.
+	StoreUnreachable() bool
 }
 
 // Deps are the dependencies and settings of a Server.
 type Deps struct {
-	Instance string
-	Domain   string
-	Fleet    Knowledge
-	Wire     call.Wire
-	Board    *place.Board
-	Rates    *place.Rates
-	Budget   *retry.Budget
-	Rollouts *rollout.Controller
+	Instance    string
+	Domain      string
+	Fleet       ConfigSource
+	HeaderCodec call.HeaderCodec
+	Board       *place.Board
+	Rates       *place.Rates
+	Budget      *retry.Budget
+	Rollouts    *rollout.Controller
 	// Quarantine holds the requests that crash endpoints.
 	Quarantine *quarantine.Table
 	// Limits are the rate limits that endpoints announce.
-	Limits *ratelimit.Limits
-	Ladder cascade.Ladder
+	Limits           *ratelimit.Limits
+	EscalationPolicy cascade.EscalationPolicy
 	// Gate counts the requests and decides which are accepted during a planned
 	// stop.
 	Gate *drain.Gate
@@ -58,12 +58,12 @@
 	BodyMemory int64
 	// MaxInFlight bounds the requests served at a time; 0: unlimited.
 	MaxInFlight int64
-	// LapsedFor is how long an endpoint whose registration ended without
+	// LapsedGrace is how long an endpoint whose registration ended without
 	// notice still gets requests for which there is no other endpoint.
-	LapsedFor time.Duration
-	Clock     clockwork.Clock
-	Log       *slog.Logger
-	Scope     tally.Scope
+	LapsedGrace time.Duration
+	Clock       clockwork.Clock
+	Log         *slog.Logger
+	Scope       tally.Scope
 }
 
 // Server serves the caller API.
@@ -71,7 +71,7 @@
 	Deps
 	metrics   metrics
 	bodyBytes atomic.Int64
-	prober    upstream.Probes
+	prober    upstream.Prober
 }
 
 func New(d Deps) *Server { return &Server{Deps: d, metrics: newMetrics(d.Scope)} }
@@ -93,9 +93,9 @@
 	s.Gate.Enter()
 	defer s.Gate.Leave()
 	// Bound before any wait, so that the end of a stop ends the waits too.
-	ctx, unbind := s.Gate.Bound(r.Context())
+	ctx, unbind := s.Gate.BindContext(r.Context())
 	defer unbind()
-	x := &exchange{server: s, w: w, r: r, received: s.Clock.Now(), facts: s.Wire.Request(r.Header)}
+	x := &exchange{server: s, w: w, r: r, received: s.Clock.Now(), facts: s.HeaderCodec.Request(r.Header)}
 	defer x.logRequest()
 	if ref := x.admit(ctx); ref != nil {
 		x.refuse(ref)
@@ -174,7 +174,7 @@
 		return refuseNoID
 	}
 	x.deadline = x.received.Add(x.timeLimit())
-	s.Budget.Earn(x.target())
+	s.Budget.AddRequest(x.target())
 	return nil
 }
 
@@ -184,11 +184,11 @@
 // only once, so that a refusal was their last answer. It does not wait if the
 // store is known not to answer.
 func (s *Server) awaitConfig(ctx context.Context) {
-	if s.Fleet.StoreAway() {
+	if s.Fleet.StoreUnreachable() {
 		return
 	}
 	select {
-	case <-s.Fleet.Known():
+	case <-s.Fleet.ConfigKnown():
 	case <-s.Clock.After(configLoadTime):
 	case <-ctx.Done():
 	}
--- a/ingress/sessions_test.go
+++ b/ingress/sessions_test.go
@@ -26,7 +26,7 @@
 // sessionKeptAt returns when the only session that the entry reports was last active.
 func (w *testEnv) sessionKeptAt(is *is.I) time.Time {
 	is.Helper()
-	_, _, sessions := w.orders.Tell()
+	_, _, sessions := w.orders.Snapshot()
 	is.Equal(len(sessions), 1)
 	return time.Now().Add(-sessions[0].Ago)
 }
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -25,7 +25,7 @@
 func TestStoppingEntryAcceptsOnlyRequestsThatEndInTime(t *testing.T) {
 	is := is.New(t)
 	w := newEnv(t, 1)
-	w.gate.Begin(drain.Times{TakesAll: 2 * time.Second, Stays: 3 * time.Second, End: 20 * time.Second})
+	w.gate.Begin(drain.Times{AcceptAllFor: 2 * time.Second, ServeAtLeast: 3 * time.Second, End: 20 * time.Second})
 	is.True(!w.server.Ready())
 	long, short := []string{"X-Deadline-Remaining", "60000"}, []string{"X-Deadline-Remaining", "2000"}
 	w.do(http.MethodPost, "/resume/stream", "body", long...).wholeStream(is) // its route allows 10 s
@@ -182,7 +182,7 @@
 	is := is.New(t)
 	w := newEnv(t, 0)
 	conn, rest := sendPartialRequest(w, "/post/x")
-	w.gate.Begin(drain.Times{TakesAll: time.Second, Stays: time.Second, End: time.Second})
+	w.gate.Begin(drain.Times{AcceptAllFor: time.Second, ServeAtLeast: time.Second, End: time.Second})
 	fmt.Fprint(conn, rest)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -20,7 +20,7 @@
 // forwarded, as they arrive. Wherever an endpoint breaks off, the caller is at an
 // event boundary, and another endpoint can resume from there.
 func (x *exchange) runStream(ctx context.Context) {
-	x.model = x.server.Ladder.First(len(x.route.Models))
+	x.model = x.server.EscalationPolicy.First(len(x.route.Models))
 	lastID := x.facts.ResumeAfter
 	for {
 		resume := ""
@@ -92,27 +92,27 @@
 	if x.started || x.modelName() == "" {
 		return false
 	}
-	ladder := x.server.Ladder
+	ladder := x.server.EscalationPolicy
 	next, ok := ladder.Next(len(x.route.Models), x.model, c.head.Confidence)
 	if !ok {
 		return false
 	}
 	outlook, ref := x.outlook(next)
-	verdict := ladder.Judge(c.head.Confidence, outlook)
-	if verdict == cascade.Ask && ref.limited() {
-		verdict = cascade.NoRoom
+	verdict := ladder.Decide(c.head.Confidence, outlook)
+	if verdict == cascade.Escalate && ref.limited() {
+		verdict = cascade.EnginesBusy
 	}
-	if verdict == cascade.Ask && x.suspect() {
+	if verdict == cascade.Escalate && x.suspect() {
 		verdict = cascade.Suspect
 	}
-	if verdict == cascade.Ask && !x.mayRetry(retry.ForQuality) {
-		verdict = cascade.NoRepeat
+	if verdict == cascade.Escalate && !x.mayRetry(retry.ForQuality) {
+		verdict = cascade.NoRetry
 	}
-	if verdict != cascade.Ask {
+	if verdict != cascade.Escalate {
 		x.attempts[c.attemptIndex].keepReason = verdict
 		return false
 	}
-	x.observe(c, false, c.ticket.First())
+	x.observe(c, false, c.ticket.FirstEvent())
 	x.end(c, place.Served, "confidence "+strconv.Itoa(c.head.Confidence))
 	x.model = next
 	// The larger model may run on the same endpoint.
@@ -122,15 +122,15 @@
 
 // outlook estimates how long another of the route's models would take to answer. It
 // returns a refusal if no endpoint is available for it.
-func (x *exchange) outlook(model int) (cascade.Outlook, *refusal) {
-	o := cascade.Outlook{Elapsed: x.server.Clock.Since(x.received), Objective: x.route.Objective}
+func (x *exchange) outlook(model int) (cascade.Estimate, *refusal) {
+	o := cascade.Estimate{Elapsed: x.server.Clock.Since(x.received), Objective: x.route.Objective}
 	previous := x.model
 	x.model = model
 	_, best, ref := x.pick()
 	if ref == nil {
-		o.Wait = max(best.Standing.Wait, x.server.Board.UsualWait(x.target()))
-		o.Busy = x.server.Board.Busy(x.target())
-		o.First = x.server.Rates.First(x.modelName(), x.facts.Usage.Prompt)
+		o.Wait = max(best.Standing.Wait, x.server.Board.MeanWait(x.target()))
+		o.Utilization = x.server.Board.Utilization(x.target())
+		o.First = x.server.Rates.TimeToFirstEvent(x.modelName(), x.facts.Usage.Prompt)
 	}
 	x.model = previous
 	return o, ref
@@ -138,7 +138,7 @@
 
 // relayEvents forwards the events until the stream ends.
 func (x *exchange) relayEvents(ctx context.Context, c *upstreamCall, lastID string) (string, error) {
-	in := newEventReader(c.resp.Body, x.server.Wire.EventID)
+	in := newEventReader(c.resp.Body, x.server.HeaderCodec.EventID)
 	first := true
 	for {
 		event, id, err := in.next()
@@ -151,7 +151,7 @@
 		if first {
 			first = false
 			c.hold.Release()
-			x.observe(c, false, c.ticket.First())
+			x.observe(c, false, c.ticket.FirstEvent())
 			if !x.started {
 				x.writeHead(c, -1)
 			}
@@ -187,8 +187,8 @@
 	if a.events == paceEvents {
 		x.observePace(c)
 	}
-	x.server.Rollouts.Keep(x.facts.Session, c.group, c.endpoint.Version)
-	c.ticket.Heard()
+	x.server.Rollouts.RecordSession(x.facts.Session, c.group, c.endpoint.Version)
+	c.ticket.DataReceived()
 	c.watch.eventReceived()
 }
 
--- a/ingress/trial.go
+++ b/ingress/trial.go
@@ -42,17 +42,17 @@
 	}
 	s := x.server
 	trial, ok := s.Rollouts.Trial(g, s.Board.Standing)
-	if !ok || x.tried[trial.Endpoint.ID] || !s.Budget.Take(x.target(), retry.ForTrial) || !s.Limits.Take(trial.Endpoint, ratelimit.LightLeaves) {
+	if !ok || x.tried[trial.Endpoint.ID] || !s.Budget.Take(x.target(), retry.ForTrial) || !s.Limits.Take(trial.Endpoint, ratelimit.LightHeadroom) {
 		return
 	}
 	x.copied = true
 	x.runs++
-	d := call.Directions{Endpoint: trial.Endpoint.Name, Remaining: min(x.remaining(), maxTrialDuration), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
+	d := call.ForwardOptions{Endpoint: trial.Endpoint.Name, Remaining: min(x.remaining(), maxTrialDuration), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
 	if x.customer != nil {
 		d.Customer = x.customer.Name
 	}
 	req := &upstream.Request{Address: trial.Endpoint.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.Wire.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody}
+		Header: s.HeaderCodec.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), d.Remaining)
 	context.AfterFunc(x.r.Context(), func() {
 		if !x.answered.Load() {
@@ -72,7 +72,7 @@
 // have crashed an endpoint is not copied either.
 func (x *exchange) mayCopy() bool {
 	return !x.copied && !x.suspect() && !x.server.Gate.Stopping() && x.route.MayRepeat() && x.runs+2 < x.route.MaxAttempts && x.facts.ResumeAfter == "" &&
-		x.facts.Usage.Output >= minTrialOutput && x.server.Rates.Reading(x.trialModel(), x.facts.Usage.Prompt) <= maxTrialPromptTime
+		x.facts.Usage.Output >= minTrialOutput && x.server.Rates.PrefillTime(x.trialModel(), x.facts.Usage.Prompt) <= maxTrialPromptTime
 }
 
 // trialModel returns the largest of the route's models, which runs the longest.
@@ -95,8 +95,8 @@
 		return
 	}
 	defer resp.Close()
-	head := s.Wire.Answer(resp.Status, resp.Header)
-	ticket.Head(head.Load)
+	head := s.HeaderCodec.Answer(resp.Status, resp.Header)
+	ticket.HeadReceived(head.Load)
 	load := call.Load{}
 	if head.Load != nil {
 		load = *head.Load
--- a/ingress/trial_test.go
+++ b/ingress/trial_test.go
@@ -26,7 +26,7 @@
 	w.put("op/rollout/"+service, []byte(`{"service":"`+service+`","target":"v2","duration_s":1000}`))
 	w.sync()
 	order := w.fleet.View().Group(service).Rollout.Ordered
-	w.orders.Hear([]rollout.Told{{Service: service, Ordered: order, Age: 200 * time.Second}}, nil, nil)
+	w.orders.Merge([]rollout.OrderState{{Service: service, Ordered: order, Age: 200 * time.Second}}, nil, nil)
 	return w
 }
 
@@ -93,7 +93,7 @@
 func TestAStoppingEntryCopiesNothing(t *testing.T) {
 	is := is.New(t)
 	w := newTrialEnv(t)
-	w.gate.Begin(drain.Times{TakesAll: time.Second, Stays: time.Second, End: time.Second})
+	w.gate.Begin(drain.Times{AcceptAllFor: time.Second, ServeAtLeast: time.Second, End: time.Second})
 	w.do(http.MethodPost, "/sized/stream", "body", trialHeaders...).wholeStream(is)
 	is.Equal(len(w.engines[1].Runs()), 0)
 }
@@ -109,7 +109,7 @@
 	awaitRuns(w.engines[1], 1, func(platformtest.Run) bool { return true })
 	leave()
 	is.True(<-ended != nil)
-	awaitRuns(w.engines[1], 1, func(r platformtest.Run) bool { return r.Left })
+	awaitRuns(w.engines[1], 1, func(r platformtest.Run) bool { return r.Disconnected })
 }
 
 // Guards against a crash not being recorded for its request because the request's copy caused it, before
@@ -126,7 +126,7 @@
 	w.sync()
 	ctx, leave := context.WithCancel(context.Background())
 	ended := sendAsync(w.request(http.MethodPost, "/sized/stream", poison, trialHeaders...).WithContext(ctx))
-	fingerprint := quarantine.Of("cust", http.MethodPost, host, "/sized/stream", []byte(poison))
+	fingerprint := quarantine.FingerprintOf("cust", http.MethodPost, host, "/sized/stream", []byte(poison))
 	for !w.quarantine.Check(fingerprint).Suspect {
 		runtime.Gosched()
 	}
--- a/ingress/watch.go
+++ b/ingress/watch.go
@@ -80,7 +80,7 @@
 		return watchLimits{answer: min(3*x.route.Objective, x.remaining()*2/3)}
 	}
 	l := watchLimits{reachable: true, gap: time.Duration(maxGapFactor * float64(x.route.MaxGap))}
-	expected := x.server.Board.Standing(id).Wait + x.server.Rates.First(x.modelName(), x.facts.Usage.Prompt)
+	expected := x.server.Board.Standing(id).Wait + x.server.Rates.TimeToFirstEvent(x.modelName(), x.facts.Usage.Prompt)
 	l.first = max(time.Duration(firstEventMinShare*float64(x.route.Objective)), firstEventFactor*expected+firstEventSlack)
 	return l
 }
@@ -201,7 +201,7 @@
 		return true // found by the watchdog of another request
 	}
 	silent := s.Board.Standing(id).Silent
-	if s.Board.DomainAway(ep.Domain) && silent > silentInUnreachableDomain {
+	if s.Board.DomainUnreachable(ep.Domain) && silent > silentInUnreachableDomain {
 		return true
 	}
 	if silent < silentAfter || !s.Board.MayCheck(id, recheckInterval) {
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -56,11 +56,11 @@
 	retryInterval = 250 * time.Millisecond
 )
 
-// Persist retries try until it succeeds or limit has passed, and returns the
+// RetryFor retries try until it succeeds or limit has passed, and returns the
 // error of the last attempt. It is for the final work of a planned stop, which
 // would be lost with the process if a service is briefly unavailable. The limit
 // leaves time for the shutdown steps that follow.
-func Persist(ctx context.Context, limit time.Duration, try func(context.Context) error) error {
+func RetryFor(ctx context.Context, limit time.Duration, try func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -37,9 +37,9 @@
 	return l
 }
 
-// Use makes the listener serve ln, which is already open. It must be called
+// SetListener makes the listener serve ln, which is already open. It must be called
 // before Start.
-func (l *Listener) Use(ln net.Listener) { l.ln = ln }
+func (l *Listener) SetListener(ln net.Listener) { l.ln = ln }
 
 // Start opens the address and serves in the background.
 func (l *Listener) Start(log *slog.Logger) error {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -99,7 +99,7 @@
 		owner.resetHolder()
 		return
 	}
-	resp := holder.Keep(req)
+	resp := holder.StoreCopies(req)
 	if lost == "answer" {
 		owner.resetHolder()
 		return
@@ -235,7 +235,7 @@
 	recs, _, err := Read(ctx, store)
 	is.NoErr(err)
 	is.Equal(len(recs), 0)
-	is.Equal(holder.Keep(&peerpb.ShadowRequest{Owner: "a", Life: 1}).Durable, nil)
+	is.Equal(holder.StoreCopies(&peerpb.ShadowRequest{Owner: "a", Life: 1}).Durable, nil)
 }
 
 // customerTotals returns the billed tokens per customer and the number of
--- a/ledger/replication.go
+++ b/ledger/replication.go
@@ -190,9 +190,9 @@
 	l.markAcked(target, changeSeq, resp.Durable)
 }
 
-// Keep stores an owner's copies on its holder and returns which of the owner's
+// StoreCopies stores an owner's copies on its holder and returns which of the owner's
 // records have become durable.
-func (l *Ledger) Keep(req *peerpb.ShadowRequest) *peerpb.ShadowResponse {
+func (l *Ledger) StoreCopies(req *peerpb.ShadowRequest) *peerpb.ShadowResponse {
 	key := fmt.Sprintf("%s/%d", req.Owner, req.Life)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -15,7 +15,7 @@
 // request to an endpoint that names a limit, until ctx ends. It bypasses the send limiter:
 // load datagrams are paced, and other entries would use up the limit meanwhile. The limit
 // itself keeps such requests few.
-func (l *Loads) publishLimits(ctx context.Context) {
+func (l *LoadExchange) publishLimits(ctx context.Context) {
 	for {
 		select {
 		case <-l.Limits.Sent():
@@ -32,27 +32,27 @@
 }
 
 // LimitsDatagram encodes this entry's limits only.
-func (l *Loads) LimitsDatagram() ([]byte, error) {
+func (l *LoadExchange) LimitsDatagram() ([]byte, error) {
 	msg := &meshpb.Load{Instance: l.Instance, LimitsOnly: true}
 	l.addLimits(msg)
 	return proto.Marshal(msg)
 }
 
 // limitRecipients returns the addresses of the entries that may use the same limited endpoints.
-func (l *Loads) limitRecipients() []string {
+func (l *LoadExchange) limitRecipients() []string {
 	entries := l.Fleet.View().Entries
 	var out []string
 	for _, e := range entries {
-		if e.Instance != l.Instance && e.Loads != "" && ratelimit.Share(len(entries), l.Domain, e.Domain) {
-			out = append(out, e.Loads)
+		if e.Instance != l.Instance && e.LoadAddress != "" && ratelimit.MayUse(len(entries), l.Domain, e.Domain) {
+			out = append(out, e.LoadAddress)
 		}
 	}
 	return out
 }
 
 // addLimits adds as many limits as fit a datagram, a new random selection each time if there are more.
-func (l *Loads) addLimits(msg *meshpb.Load) {
-	limits := l.Limits.Tell()
+func (l *LoadExchange) addLimits(msg *meshpb.Load) {
+	limits := l.Limits.Reports()
 	if len(limits) > maxLimits {
 		rand.Shuffle(len(limits), func(i, j int) { limits[i], limits[j] = limits[j], limits[i] })
 		limits = limits[:maxLimits]
@@ -65,11 +65,11 @@
 	}
 }
 
-func (l *Loads) receiveLimits(msg *meshpb.Load) {
-	limits := make([]ratelimit.Told, 0, len(msg.Limited))
+func (l *LoadExchange) receiveLimits(msg *meshpb.Load) {
+	limits := make([]ratelimit.Report, 0, len(msg.Limited))
 	for i, id := range msg.Limited {
-		limits = append(limits, ratelimit.Told{Endpoint: id, Limit: ratelimit.OfThousandths(msg.Limit[i]),
+		limits = append(limits, ratelimit.Report{Endpoint: id, Limit: ratelimit.OfThousandths(msg.Limit[i]),
 			Age: time.Duration(msg.LimitAgeMs[i]) * time.Millisecond, Sent: msg.Sent[i]})
 	}
-	l.Limits.Hear(msg.Instance, limits)
+	l.Limits.ReceiveReports(msg.Instance, limits)
 }
--- a/mesh/loads.go
+++ b/mesh/loads.go
@@ -47,8 +47,8 @@
 	maxLimits    = 25
 )
 
-// LoadsDeps are the dependencies of Loads.
-type LoadsDeps struct {
+// LoadExchangeDeps are the dependencies of Loads.
+type LoadExchangeDeps struct {
 	Instance, Domain string
 	Address          string // IP:port, for datagrams
 	Fleet            *fleet.Follower
@@ -59,22 +59,22 @@
 	Log              *slog.Logger
 }
 
-// Loads publishes this entry's outstanding work by endpoint, the loads that endpoints
+// LoadExchange publishes this entry's outstanding work by endpoint, the loads that endpoints
 // reported to it, its retries, and the requests it sent to endpoints that name a limit; and
 // it receives the same from other entries. It uses datagrams, as a lost or late one is
 // worthless a moment later.
-type Loads struct {
-	LoadsDeps
+type LoadExchange struct {
+	LoadExchangeDeps
 	conn        net.PacketConn
 	lastEmpty   bool // the last datagram carried no work, loads or limits
 	sendLimiter sendLimiter
 }
 
-// NewLoads returns a Loads; Run starts it.
-func NewLoads(d LoadsDeps) *Loads { return &Loads{LoadsDeps: d} }
+// NewLoadExchange returns a Loads; Run starts it.
+func NewLoadExchange(d LoadExchangeDeps) *LoadExchange { return &LoadExchange{LoadExchangeDeps: d} }
 
 // Run publishes and receives until ctx ends.
-func (l *Loads) Run(ctx context.Context) {
+func (l *LoadExchange) Run(ctx context.Context) {
 	conn, err := net.ListenPacket("udp", l.Address)
 	if err != nil {
 		l.Log.Error("mesh: cannot open the datagram socket; loads are not exchanged.", "address", l.Address, "error", err)
@@ -94,14 +94,14 @@
 
 // awaitPublish waits until a datagram is due and the send limiter allows it; it returns
 // false once ctx has ended.
-func (l *Loads) awaitPublish(ctx context.Context) bool {
+func (l *LoadExchange) awaitPublish(ctx context.Context) bool {
 	interval := publishInterval
 	if len(l.Fleet.View().Entries) > publishToAllLimit {
 		interval = largeFleetInterval
 	}
 	select {
 	case <-l.Clock.After(time.Duration(float64(interval) * (0.9 + rand.Float64()/5))):
-	case <-l.Board.Grew():
+	case <-l.Board.WorkGrew():
 	case <-ctx.Done():
 		return false
 	}
@@ -138,17 +138,17 @@
 // that use the same engines: those of the own failure domain and of the domains where this
 // entry has long work outstanding. A long prompt sent to the engine that has part of it in
 // its cache mostly goes to another domain, whose entries would send to that engine too.
-func (l *Loads) recipients() []string {
+func (l *LoadExchange) recipients() []string {
 	entries := l.Fleet.View().Entries
 	domains := l.Board.WorkDomains()
 	domains[l.Domain] = true
 	out := make([]string, 0, len(entries))
 	for _, e := range entries {
-		if e.Instance == l.Instance || e.Loads == "" {
+		if e.Instance == l.Instance || e.LoadAddress == "" {
 			continue
 		}
 		if len(entries) <= publishToAllLimit || domains[e.Domain] {
-			out = append(out, e.Loads)
+			out = append(out, e.LoadAddress)
 		}
 	}
 	if len(out) > maxRecipients {
@@ -158,7 +158,7 @@
 	return out
 }
 
-func (l *Loads) publish(recipients []string) {
+func (l *LoadExchange) publish(recipients []string) {
 	raw, empty, err := l.Datagram()
 	if err != nil {
 		l.Log.Error("mesh: loads cannot be encoded.", "error", err)
@@ -171,7 +171,7 @@
 	l.send(raw, recipients)
 }
 
-func (l *Loads) send(raw []byte, recipients []string) {
+func (l *LoadExchange) send(raw []byte, recipients []string) {
 	for _, address := range recipients {
 		to, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // Datagram encodes what this entry publishes now; empty reports that it carries no work, loads or limits.
-func (l *Loads) Datagram() (raw []byte, empty bool, err error) {
+func (l *LoadExchange) Datagram() (raw []byte, empty bool, err error) {
 	msg := &meshpb.Load{Instance: l.Instance}
 	for id, work := range l.Board.Outstanding() {
 		if len(msg.Endpoint) == maxEndpoints {
@@ -191,7 +191,7 @@
 		msg.Endpoint = append(msg.Endpoint, place.ShortID(id))
 		msg.WorkMs = append(msg.WorkMs, uint32(work.Milliseconds()))
 	}
-	for _, t := range l.Board.Reports() {
+	for _, t := range l.Board.LoadReports() {
 		if len(msg.Loaded) == maxLoads {
 			break
 		}
@@ -212,7 +212,7 @@
 	return raw, empty, err
 }
 
-func (l *Loads) listen() {
+func (l *LoadExchange) listen() {
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := l.conn.ReadFrom(buf)
@@ -222,12 +222,12 @@
 		if err != nil {
 			continue // an earlier datagram was sent to a closed port
 		}
-		l.Hear(buf[:n])
+		l.Receive(buf[:n])
 	}
 }
 
-// Hear applies a datagram received from another entry.
-func (l *Loads) Hear(raw []byte) {
+// Receive applies a datagram received from another entry.
+func (l *LoadExchange) Receive(raw []byte) {
 	var msg meshpb.Load
 	if err := proto.Unmarshal(raw, &msg); err != nil || !columnsMatch(&msg) {
 		l.Log.Debug("mesh: datagram cannot be decoded.", "bytes", len(raw))
@@ -241,19 +241,19 @@
 	for i, id := range msg.Endpoint {
 		work[id] = time.Duration(msg.WorkMs[i]) * time.Millisecond
 	}
-	l.Board.Hear(msg.Instance, work)
-	loads := make([]place.ToldLoad, 0, len(msg.Loaded))
+	l.Board.ReceiveWork(msg.Instance, work)
+	loads := make([]place.LoadReport, 0, len(msg.Loaded))
 	for i, id := range msg.Loaded {
-		loads = append(loads, place.ToldLoad{Endpoint: id, Running: int(msg.Running[i]), Waiting: int(msg.Waiting[i]),
+		loads = append(loads, place.LoadReport{Endpoint: id, Running: int(msg.Running[i]), Waiting: int(msg.Waiting[i]),
 			Age: time.Duration(msg.LoadAgeMs[i]) * time.Millisecond})
 	}
-	l.Board.HearLoads(loads)
+	l.Board.ReceiveLoads(loads)
 	counts := make([]retry.ServiceCount, 0, len(msg.Service))
 	for i, service := range msg.Service {
 		counts = append(counts, retry.ServiceCount{Service: service,
 			Count: retry.Count{Requests: float64(msg.Requests[i]), Repeats: float64(msg.Repeats[i]), Failures: float64(msg.Failures[i])}})
 	}
-	l.Budget.Hear(msg.Instance, counts)
+	l.Budget.ReceiveCounts(msg.Instance, counts)
 }
 
 // columnsMatch reports whether the parallel arrays of a datagram have equal lengths.
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -115,19 +115,19 @@
 func (m *Mesh) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := exchangeInterval
-		if m.Fleet.StoreAway() {
+		if m.Fleet.StoreUnreachable() {
 			interval = outageInterval
 		}
 		jittered := time.Duration(float64(interval) * (0.75 + rand.Float64()/2))
 		partners := 1
 		select {
 		case <-m.Clock.After(jittered):
-		case <-m.Quarantine.News():
+		case <-m.Quarantine.Updates():
 			partners = crashFanout
 		case <-ctx.Done():
 			return
 		}
-		if m.Fleet.View().Revision == 0 && !m.Fleet.StoreAway() {
+		if m.Fleet.View().Revision == 0 && !m.Fleet.StoreUnreachable() {
 			continue // the store is being read, and gives more data at less cost
 		}
 		m.exchangeWithPeers(ctx, partners)
@@ -279,7 +279,7 @@
 // request is the message sent to a peer. Watchers receive evidence from all entries, so an
 // entry that relies on them sends only its own evidence, not what it received from them.
 func (m *Mesh) request() *meshpb.ExchangeMessage {
-	orders, evidence, sessions := m.Rollouts.Tell()
+	orders, evidence, sessions := m.Rollouts.Snapshot()
 	if !m.Fleet.Watching() && m.Fleet.Current() {
 		evidence = slices.DeleteFunc(evidence, func(r rollout.Row) bool { return r.Instance != m.Instance })
 	}
@@ -289,10 +289,10 @@
 // response is this entry's state without changes of the store. Its Watching field is for
 // entries that run another version of the program and depend on it.
 func (m *Mesh) response() *meshpb.ExchangeMessage {
-	return m.encode(m.Rollouts.Tell())
+	return m.encode(m.Rollouts.Snapshot())
 }
 
-func (m *Mesh) encode(orders []rollout.Told, evidence []rollout.Row, sessions []rollout.Session) *meshpb.ExchangeMessage {
+func (m *Mesh) encode(orders []rollout.OrderState, evidence []rollout.Row, sessions []rollout.Session) *meshpb.ExchangeMessage {
 	out := &meshpb.ExchangeMessage{Instance: m.Instance, Revision: int64(m.Fleet.View().Revision), ConfirmedMs: -1, Watching: m.Fleet.Watching()}
 	if age, ok := m.Fleet.Age(); ok {
 		out.ConfirmedMs = age.Milliseconds()
@@ -317,19 +317,19 @@
 	return out
 }
 
-func movedMS(t rollout.Told) int64 {
-	if !t.HasMoved {
+func movedMS(t rollout.OrderState) int64 {
+	if !t.Promoted {
 		return -1
 	}
-	return t.Moved.Milliseconds()
+	return t.PromotedAgo.Milliseconds()
 }
 
 // Exchange implements meshpb.Mesh: it merges the caller's state and answers with the
 // changes that the caller lacks.
 func (m *Mesh) Exchange(_ context.Context, in *meshpb.ExchangeMessage) (*meshpb.ExchangeMessage, error) {
 	m.mergeRollouts(in)
-	m.Quarantine.HearMessage(in.Suspects)
-	m.Limits.LearnMessage(in.Limits)
+	m.Quarantine.MergeMessage(in.Suspects)
+	m.Limits.MergeMessage(in.Limits)
 	out := m.response()
 	c := m.Fleet.Since(kv.Revision(in.Revision))
 	if c.Whole && !m.allowSnapshot() {
@@ -374,15 +374,15 @@
 		m.Fleet.Merge(got.Instance, c, time.Duration(got.ConfirmedMs)*time.Millisecond+took)
 	}
 	m.mergeRollouts(got)
-	m.Quarantine.HearMessage(got.Suspects)
-	m.Limits.LearnMessage(got.Limits)
+	m.Quarantine.MergeMessage(got.Suspects)
+	m.Limits.MergeMessage(got.Limits)
 }
 
 func (m *Mesh) mergeRollouts(in *meshpb.ExchangeMessage) {
-	orders := make([]rollout.Told, 0, len(in.Orders))
+	orders := make([]rollout.OrderState, 0, len(in.Orders))
 	for _, o := range in.Orders {
-		orders = append(orders, rollout.Told{Service: o.Service, Ordered: kv.Revision(o.Ordered), Age: time.Duration(o.AgeMs) * time.Millisecond, Halted: o.Halted,
-			HasMoved: o.MovedMs >= 0, Moved: time.Duration(o.MovedMs) * time.Millisecond})
+		orders = append(orders, rollout.OrderState{Service: o.Service, Ordered: kv.Revision(o.Ordered), Age: time.Duration(o.AgeMs) * time.Millisecond, Halted: o.Halted,
+			Promoted: o.MovedMs >= 0, PromotedAgo: time.Duration(o.MovedMs) * time.Millisecond})
 	}
 	evidence := make([]rollout.Row, 0, len(in.Evidence))
 	for _, e := range in.Evidence {
@@ -397,7 +397,7 @@
 			sessions = append(sessions, rollout.Session{Hash: hash, Ago: time.Duration(in.SessionAgoMs[i]) * time.Millisecond})
 		}
 	}
-	m.Rollouts.Hear(orders, evidence, sessions)
+	m.Rollouts.Merge(orders, evidence, sessions)
 }
 
 // State is the mesh's part of the state dump.
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -148,8 +148,8 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	budgets := []*retry.Budget{newBudget(), newBudget()}
-	a := NewLoads(LoadsDeps{Instance: "a", Board: place.NewBoard(clock), Budget: budgets[0], Limits: newLimits(), Log: discardLog})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: place.NewBoard(clock), Budget: budgets[1], Limits: newLimits(), Log: discardLog})
+	a := NewLoadExchange(LoadExchangeDeps{Instance: "a", Board: place.NewBoard(clock), Budget: budgets[0], Limits: newLimits(), Log: discardLog})
+	b := NewLoadExchange(LoadExchangeDeps{Instance: "b", Board: place.NewBoard(clock), Budget: budgets[1], Limits: newLimits(), Log: discardLog})
 	take := func(b *retry.Budget) (n int) {
 		for b.Take("s", retry.ForFailure) {
 			n++
@@ -158,13 +158,13 @@
 	}
 	for _, b := range budgets {
 		for range 100 {
-			b.Earn("s")
+			b.AddRequest("s")
 		}
 	}
 	alone := take(budgets[1])
 	raw, _, err := a.Datagram()
 	is.NoErr(err)
-	b.Hear(raw)
+	b.Receive(raw)
 	is.True(take(budgets[1]) > 0)
 	is.Equal(take(budgets[0]), alone) // it received no counts from others
 }
@@ -174,8 +174,8 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	from, to := place.NewBoard(clock), place.NewBoard(clock)
-	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	a := NewLoadExchange(LoadExchangeDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	b := NewLoadExchange(LoadExchangeDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
 	_, empty, err := a.Datagram()
 	is.NoErr(err)
 	is.True(empty)
@@ -184,8 +184,8 @@
 	is.NoErr(err)
 	is.True(!empty)
 	is.True(len(raw) < 30)
-	b.Hear([]byte("not a load"))
-	b.Hear(raw)
+	b.Receive([]byte("not a load"))
+	b.Receive(raw)
 	is.Equal(to.Standing("e1").Wait, 250*time.Millisecond)
 }
 
@@ -202,7 +202,7 @@
 		}
 		mergeChanges(m, fleet.Changes{Revision: 330, Whole: true, Events: events})
 		board := place.NewBoard(m.Clock)
-		l := NewLoads(LoadsDeps{Instance: "i000", Domain: "d0", Fleet: m.Fleet, Board: board, Limits: newLimits(), Log: discardLog})
+		l := NewLoadExchange(LoadExchangeDeps{Instance: "i000", Domain: "d0", Fleet: m.Fleet, Board: board, Limits: newLimits(), Log: discardLog})
 		is.Equal(len(l.recipients()), tt.want)
 		board.Begin(fleet.Endpoint{ID: "e1", Domain: "d1"}, time.Second)
 		is.Equal(len(l.recipients()), min(2*tt.want+1, maxRecipients)) // plus those that send to the same engine
@@ -235,19 +235,19 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	from, to := place.NewBoard(clock), place.NewBoard(clock)
-	a := NewLoads(LoadsDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
-	b := NewLoads(LoadsDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	a := NewLoadExchange(LoadExchangeDeps{Instance: "a", Board: from, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
+	b := NewLoadExchange(LoadExchangeDeps{Instance: "b", Board: to, Budget: newBudget(), Limits: newLimits(), Log: discardLog})
 	ep := fleet.Endpoint{ID: "e1", Service: "s", Slots: 12}
-	to.Rank([]fleet.Endpoint{ep}, place.Want{}) // makes the endpoint known to the board
-	from.Begin(ep, 0).Head(&call.Load{Running: 9, Waiting: 2, Slots: 12})
+	to.Rank([]fleet.Endpoint{ep}, place.Request{}) // makes the endpoint known to the board
+	from.Begin(ep, 0).HeadReceived(&call.Load{Running: 9, Waiting: 2, Slots: 12})
 	clock.Advance(100 * time.Millisecond)
 	raw, empty, err := a.Datagram()
 	is.NoErr(err)
 	is.True(!empty)
-	b.Hear(raw)
+	b.Receive(raw)
 	is.Equal(to.Standing("e1").Running, 9)
 	is.Equal(to.Standing("e1").Load, 11.0)
-	is.Equal(len(to.Reports()), 0) // received reports are not forwarded again
+	is.Equal(len(to.LoadReports()), 0) // received reports are not forwarded again
 }
 
 // Guards against entries cut off from the store staying on an old configuration though most
@@ -323,7 +323,7 @@
 	m.Rollouts = rollout.New(rollout.Deps{Instance: m.Instance, Boot: 1, Decoder: platform.Values{}, View: m.Fleet.View, Clock: clock, Log: discardLog})
 	mergeChanges(m, fleet.Changes{Revision: 11, Events: []kv.Event{put("op/rollout/s", `{"service":"s","target":"v2","duration_s":60}`, 11)}})
 	row := rollout.Row{Source: rollout.Source{Instance: "another", Boot: 1, Service: "s", Ordered: 11, Route: "r"}, Counts: rollout.Counts{Samples: 3}}
-	m.Rollouts.Hear(nil, []rollout.Row{row}, nil)
+	m.Rollouts.Merge(nil, []rollout.Row{row}, nil)
 	is.Equal(len(m.request().Evidence), 0)
 	is.Equal(len(m.response().Evidence), 1) // a response carries all evidence
 	clock.Advance(5 * time.Second)
@@ -406,7 +406,7 @@
 	f.Add([]byte{})
 	f.Add([]byte{0x0a, 0x01, 'a'})
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		NewLoads(LoadsDeps{Board: place.NewBoard(clockwork.NewFakeClock()), Budget: newBudget(), Limits: newLimits(), Log: discardLog}).Hear(raw)
+		NewLoadExchange(LoadExchangeDeps{Board: place.NewBoard(clockwork.NewFakeClock()), Budget: newBudget(), Limits: newLimits(), Log: discardLog}).Receive(raw)
 	})
 }
 
@@ -450,11 +450,11 @@
 	mergeChanges(m, fleet.Changes{Revision: 1, Whole: true, Events: []kv.Event{
 		put(fleet.EntryPrefix+"b", fmt.Sprintf(`{"instance":"b","domain":"d0","loads":%q}`, conn.LocalAddr().String()), 1)}})
 	limits := ratelimit.New(ratelimit.Deps{Instance: "a", Domain: "d0", Entries: func() []fleet.Entry { return m.Fleet.View().Entries }, Clock: clock, Log: discardLog})
-	l := NewLoads(LoadsDeps{Instance: "a", Domain: "d0", Address: "127.0.0.1:0", Fleet: m.Fleet, Board: place.NewBoard(clock), Budget: newBudget(), Limits: limits, Clock: clock, Log: discardLog})
+	l := NewLoadExchange(LoadExchangeDeps{Instance: "a", Domain: "d0", Address: "127.0.0.1:0", Fleet: m.Fleet, Board: place.NewBoard(clock), Budget: newBudget(), Limits: limits, Clock: clock, Log: discardLog})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
-	limits.Named(ep, 2)
+	limits.Observe(ep, 2)
 	is.True(limits.Take(ep, 0))
 	buf := make([]byte, maxDatagramBytes)
 	n, _, err := conn.ReadFrom(buf)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -63,8 +63,8 @@
 		hc: &http.Client{Timeout: orderTimeout}, lastOrdered: map[string]time.Time{}}
 }
 
-// Round renews the duty and, if it is held, sends the orders that are due.
-func (r *Reconciler) Round(ctx context.Context) {
+// Reconcile renews the duty and, if it is held, sends the orders that are due.
+func (r *Reconciler) Reconcile(ctx context.Context) {
 	if _, held := r.duty.Held(); !held && !r.eligible() {
 		return
 	}
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -67,18 +67,18 @@
 		oldFence, _ := first.Held()
 		fc.Advance(duty.TTL + time.Second)
 		current := New(second, always, tableFor(addr, "v2"), engineReports{e}, "fd-1", fc, discardLog)
-		current.Round(ctx)
+		current.Reconcile(ctx)
 		is.Equal(e.State().Loaded, "m@v2")
 
-		New(staleHolder{first, oldFence}, always, tableFor(addr, "v1"), engineReports{e}, "fd-1", fc, discardLog).Round(ctx)
+		New(staleHolder{first, oldFence}, always, tableFor(addr, "v1"), engineReports{e}, "fd-1", fc, discardLog).Reconcile(ctx)
 		is.Equal(e.State().Loaded == "m@v1", ignoresFencing)
-		is.Equal(e.State().Stale == 1, !ignoresFencing)
+		is.Equal(e.State().StaleOrders == 1, !ignoresFencing)
 
 		fc.Advance(duty.TTL / 3)
-		current.Round(ctx)
+		current.Reconcile(ctx)
 		fc.Advance(reorderDelay)
-		current.Round(ctx) // renews or reacquires the duty
-		current.Round(ctx)
+		current.Reconcile(ctx) // renews or reacquires the duty
+		current.Reconcile(ctx)
 		is.Equal(e.State().Loaded, "m@v2")
 	}
 }
@@ -97,7 +97,7 @@
 	is.NoErr(first.Renew(ctx))
 	fc.Advance(duty.TTL + time.Second)
 	is.NoErr(second.Renew(ctx))
-	New(first, always, tableFor(strings.TrimPrefix(srv.URL, "http://"), "v1"), engineReports{e}, "fd-1", fc, discardLog).Round(ctx)
+	New(first, always, tableFor(strings.TrimPrefix(srv.URL, "http://"), "v1"), engineReports{e}, "fd-1", fc, discardLog).Reconcile(ctx)
 	is.Equal(e.State().Loaded, "m@v2")
 	is.Equal(e.State().Fence, int64(0)) // no order arrived
 }
--- a/peers/bench_test.go
+++ b/peers/bench_test.go
@@ -44,7 +44,7 @@
 			for i := range b.N {
 				rev := int64(i + 1)
 				net.nodes["e-0-0"].rev = rev
-				net.nodes["e-0-0"].Rumour()
+				net.nodes["e-0-0"].TriggerSpread()
 				n := 0
 				for net.behind(rev) > 0 {
 					net.tick()
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkHolds measures one Holds call, which is made once per second for
+// BenchmarkHolds measures one IsResponsible call, which is made once per second for
 // each back end to divide load polling among the entries.
 func BenchmarkHolds(b *testing.B) {
 	net := newNetwork(13, 25)
@@ -67,7 +67,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		t.Holds(fmt.Sprintf("engine-%05d", i%277), 1)
+		t.IsResponsible(fmt.Sprintf("engine-%05d", i%277), 1)
 	}
 }
 
--- a/peers/doc.go
+++ b/peers/doc.go
@@ -10,7 +10,7 @@
 //
 // Membership also keeps the KV's call rate from growing with the fleet: the
 // entries of a failure domain rank themselves by rendezvous hash, and only the
-// first few watch the KV (Holds); the others learn from them. Entries that
+// first few watch the KV (IsResponsible); the others learn from them. Entries that
 // disagree on which members are alive may both watch, which costs extra calls
 // but breaks no guarantee. An entry that sees no peer watches the KV itself, so
 // a membership failure leads to more calls, never to missed updates.
--- a/peers/gossip.go
+++ b/peers/gossip.go
@@ -37,10 +37,10 @@
 // Received is a peer's digest.
 type Received struct {
 	*peerpb.Digest
-	// Asked is when this entry requested the digest, or zero if the peer sent
+	// RequestedAt is when this entry requested the digest, or zero if the peer sent
 	// it unrequested. An unrequested digest may have waited in a socket buffer
 	// while this process was paused, so it proves nothing about the present.
-	Asked time.Time
+	RequestedAt time.Time
 }
 
 // Topic is one kind of state carried in digests. Fill adds this entry's state
@@ -124,13 +124,13 @@
 		changed = t.Merge(ctx, d) || changed
 	}
 	if changed {
-		g.Rumour()
+		g.TriggerSpread()
 	}
 }
 
-// Rumour requests that Run send this entry's digest to several peers at once
+// TriggerSpread requests that Run send this entry's digest to several peers at once
 // (Spread).
-func (g *Gossip) Rumour() {
+func (g *Gossip) TriggerSpread() {
 	select {
 	case g.spreadRequested <- struct{}{}:
 	default: // already requested
@@ -210,7 +210,7 @@
 		g.log.Debug("peers: exchange failed.", "peer", to.Address, "error", err)
 		return
 	}
-	g.receive(ctx, Received{Digest: d, Asked: requestedAt})
+	g.receive(ctx, Received{Digest: d, RequestedAt: requestedAt})
 }
 
 // Run gossips until ctx ends.
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -119,7 +119,7 @@
 func (n *network) watchers(domain int) int {
 	c := 0
 	for _, e := range n.order {
-		if !e.dead && e.table.Self().Domain == fmt.Sprintf("fd-%d", domain) && e.table.Holds("config", 2) {
+		if !e.dead && e.table.Self().Domain == fmt.Sprintf("fd-%d", domain) && e.table.IsResponsible("config", 2) {
 			c++
 		}
 	}
@@ -140,7 +140,7 @@
 	net.run(20)
 	is.Equal(len(net.nodes["e-2-3"].table.ranked("x")), 8) // it knows all members of its domain
 	net.nodes["e-3-7"].rev = 7
-	net.nodes["e-3-7"].Rumour()
+	net.nodes["e-3-7"].TriggerSpread()
 	net.run(5)
 	is.Equal(net.behind(7), 0)
 }
@@ -158,7 +158,7 @@
 	net.partitioned = func(from, to string) bool { return inPartition(from) != inPartition(to) }
 	net.run(int(evictAfter/time.Second) + 20)
 	net.nodes["e-0-1"].rev = 9
-	net.nodes["e-0-1"].Rumour()
+	net.nodes["e-0-1"].TriggerSpread()
 	net.run(5)
 	is.Equal(net.behind(9), 4)   // the partitioned domain
 	is.Equal(net.watchers(2), 2) // its members still know each other and who watches the KV
@@ -187,7 +187,7 @@
 	}
 	net.nodes["e-0-0"].dead = false
 	net.run(int(deadAfter/time.Second) + 5)
-	is.True(net.nodes["e-0-0"].table.Holds("config", 2))
+	is.True(net.nodes["e-0-0"].table.IsResponsible("config", 2))
 }
 
 // TestStaleRecordDoesNotReviveMember checks that a dead member does not become
--- a/peers/table.go
+++ b/peers/table.go
@@ -228,11 +228,11 @@
 	return x ^ x>>31
 }
 
-// Holds reports whether this entry is among the first n live members of its
+// IsResponsible reports whether this entry is among the first n live members of its
 // domain in rendezvous order for subject. It needs no consensus: when views
 // differ, more than n entries may hold the subject, and after a holder dies
 // fewer do for at most deadAfter.
-func (t *Table) Holds(subject string, n int) bool {
+func (t *Table) IsResponsible(subject string, n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	own := rank(subject, t.self.Instance)
--- a/place/board.go
+++ b/place/board.go
@@ -165,8 +165,8 @@
 // which one entry receives in a second or two.
 const busyGain = 0.1
 
-// TookLoad records the load that an endpoint of a service reported with an answer.
-func (b *Board) TookLoad(name string, l call.Load) {
+// ObserveLoad records the load that an endpoint of a service reported with an answer.
+func (b *Board) ObserveLoad(name string, l call.Load) {
 	if l.Slots <= 0 {
 		return
 	}
@@ -176,10 +176,10 @@
 	s.utilization += busyGain * (float64(l.Running+l.Waiting)/float64(l.Slots) - s.utilization)
 }
 
-// Busy returns the utilization of a service: running and waiting requests divided by slots, averaged
+// Utilization returns the utilization of a service: running and waiting requests divided by slots, averaged
 // over the last answers. The load of one endpoint says little about the others, and the best endpoint
 // is never busy.
-func (b *Board) Busy(name string) float64 {
+func (b *Board) Utilization(name string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.serviceLocked(name).utilization
@@ -231,8 +231,8 @@
 	}
 }
 
-// Head records the header of an answer and the load it reports, if any.
-func (t *Ticket) Head(load *call.Load) {
+// HeadReceived records the header of an answer and the load it reports, if any.
+func (t *Ticket) HeadReceived(load *call.Load) {
 	b := t.board
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -246,8 +246,8 @@
 	}
 }
 
-// First records the first event or the whole answer, and returns the time it took.
-func (t *Ticket) First() time.Duration {
+// FirstEvent records the first event or the whole answer, and returns the time it took.
+func (t *Ticket) FirstEvent() time.Duration {
 	b := t.board
 	now := b.clock.Now()
 	took := now.Sub(t.begun)
@@ -271,8 +271,8 @@
 	t.work = 0
 }
 
-// Heard records that data was received.
-func (t *Ticket) Heard() {
+// DataReceived records that data was received.
+func (t *Ticket) DataReceived() {
 	b := t.board
 	now := b.clock.Now()
 	b.mu.Lock()
--- a/place/choose.go
+++ b/place/choose.go
@@ -42,15 +42,15 @@
 	defaultSlots = 8
 )
 
-// Want describes a request to the selection.
-type Want struct {
+// Request describes a request to the selection.
+type Request struct {
 	Domain string // failure domain of this entry
 	// Affinity is equal for requests that share a prompt; 0: none.
 	Affinity uint64
 	// SharedTokens is the length of the shared prompt, Reading the time an engine takes to
 	// read it.
 	SharedTokens int
-	Reading      time.Duration
+	PrefillTime  time.Duration
 	// Tried are endpoints that the request was already sent to.
 	Tried map[fleet.EndpointID]bool
 	// Closed reports endpoints that accept no requests now; nil: all accept them.
@@ -66,7 +66,7 @@
 
 // closed evaluates Closed for all candidates; nil: none is closed. It is called without the board's lock,
 // as the callback takes its own.
-func (w Want) closed(candidates []fleet.Endpoint) []bool {
+func (w Request) closed(candidates []fleet.Endpoint) []bool {
 	if w.Closed == nil {
 		return nil
 	}
@@ -79,7 +79,7 @@
 
 // Rank orders endpoints for a request, best first. Ejected ones come last; endpoints already tried and
 // closed ones are left out.
-func (b *Board) Rank(candidates []fleet.Endpoint, w Want) []Ranked {
+func (b *Board) Rank(candidates []fleet.Endpoint, w Request) []Ranked {
 	now := b.clock.Now()
 	preferred := preferredEndpoint(candidates, w)
 	closed := w.closed(candidates)
@@ -109,7 +109,7 @@
 
 // score returns the expected wait at an endpoint with the given load, plus penalties and less the
 // value of a cached prompt.
-func score(ep fleet.Endpoint, s Standing, load float64, w Want, preferred bool) time.Duration {
+func score(ep fleet.Endpoint, s Standing, load float64, w Request, preferred bool) time.Duration {
 	taken := load / float64(slotsOf(ep))
 	v := s.Wait + scaled(busyPenalty, taken*taken*taken) + scaled(failurePenalty, s.FailRate)
 	if ep.Domain != w.Domain {
@@ -119,7 +119,7 @@
 		v += fullPenalty
 	}
 	if preferred {
-		v -= scaled(w.Reading+time.Duration(w.SharedTokens)*cacheMissPerToken, expectedHitRate)
+		v -= scaled(w.PrefillTime+time.Duration(w.SharedTokens)*cacheMissPerToken, expectedHitRate)
 	}
 	return v
 }
@@ -135,7 +135,7 @@
 
 // preferredEndpoint returns the preferred endpoint of a prompt by rendezvous hashing: all entries agree,
 // and when endpoints change, only the prompts of those endpoints move.
-func preferredEndpoint(candidates []fleet.Endpoint, w Want) fleet.EndpointID {
+func preferredEndpoint(candidates []fleet.Endpoint, w Request) fleet.EndpointID {
 	if w.Affinity == 0 {
 		return ""
 	}
--- a/place/domains.go
+++ b/place/domains.go
@@ -44,8 +44,8 @@
 	return d != nil && len(d.failed) >= domainFailures && now.Sub(d.lastFailure) < domainRetryInterval
 }
 
-// DomainAway reports whether a failure domain appears to be cut off.
-func (b *Board) DomainAway(domain string) bool {
+// DomainUnreachable reports whether a failure domain appears to be cut off.
+func (b *Board) DomainUnreachable(domain string) bool {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/place/fleet_sim_test.go
+++ b/place/fleet_sim_test.go
@@ -194,7 +194,7 @@
 		p.result.sends++
 	}
 	b := p.boards[j.entry]
-	best := b.Rank(p.eps, Want{Domain: p.domain(j.entry)})[0].Endpoint
+	best := b.Rank(p.eps, Request{Domain: p.domain(j.entry)})[0].Endpoint
 	j.ticket, j.sent = b.Begin(best, j.read), p.now
 	p.reportGrowth(j.entry)
 	e := p.byID[best.ID]
@@ -230,8 +230,8 @@
 	if p.now > warmUp {
 		p.result.waits = append(p.result.waits, p.now-j.sent-j.read)
 	}
-	j.ticket.Head(&call.Load{Running: e.running, Waiting: len(e.queue), Slots: simSlots})
-	j.ticket.First()
+	j.ticket.HeadReceived(&call.Load{Running: e.running, Waiting: len(e.queue), Slots: simSlots})
+	j.ticket.FirstEvent()
 	if !j.large && p.r.Float64() < simDoubted {
 		p.end(j)
 		p.send(&simRequest{entry: j.entry, large: true, read: p.vary(largeRead), stream: p.vary(largeStream)})
@@ -267,7 +267,7 @@
 // reportGrowth reports to the others if the board signals growth.
 func (p *simRun) reportGrowth(from int) {
 	select {
-	case <-p.boards[from].Grew():
+	case <-p.boards[from].WorkGrew():
 		p.report(from)
 	default:
 	}
@@ -278,12 +278,12 @@
 	for id, w := range p.boards[from].Outstanding() {
 		work[ShortID(id)] = w
 	}
-	loads := p.boards[from].Reports()
+	loads := p.boards[from].LoadReports()
 	p.after(simDelay, func() {
 		for to := from % p.domains; to < p.entries; to += p.domains {
 			if to != from {
-				p.boards[to].Hear(fmt.Sprint(from), work)
-				p.boards[to].HearLoads(loads)
+				p.boards[to].ReceiveWork(fmt.Sprint(from), work)
+				p.boards[to].ReceiveLoads(loads)
 			}
 		}
 	})
--- a/place/loads.go
+++ b/place/loads.go
@@ -33,8 +33,8 @@
 	announceThreshold = 40 * time.Millisecond
 )
 
-// ToldLoad is the load that an endpoint reported to an entry, as entries pass it on.
-type ToldLoad struct {
+// LoadReport is the load that an endpoint reported to an entry, as entries pass it on.
+type LoadReport struct {
 	Endpoint uint32 // short id
 	Running  int
 	Waiting  int
@@ -76,45 +76,45 @@
 	s.meanLoad += gain * (requests - s.meanLoad)
 }
 
-// Waited records the delay of the first event of an answer of the service beyond the time for its own
+// ObserveWait records the delay of the first event of an answer of the service beyond the time for its own
 // prompt.
-func (b *Board) Waited(name string, delay time.Duration) {
+func (b *Board) ObserveWait(name string, delay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.serviceLocked(name)
 	s.delay += busyGain * (max(0, delay.Seconds()) - s.delay)
 }
 
-// UsualWait returns the recent mean wait of the requests of the service for other requests. Known
+// MeanWait returns the recent mean wait of the requests of the service for other requests. Known
 // outstanding work does not cover it: engines that read prompts all the time keep every request
 // waiting, even if few run there.
-func (b *Board) UsualWait(name string) time.Duration {
+func (b *Board) MeanWait(name string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.serviceLocked(name).delay * float64(time.Second))
 }
 
-// Reports returns the loads that endpoints recently reported to this entry, sorted by endpoint, for
+// LoadReports returns the loads that endpoints recently reported to this entry, sorted by endpoint, for
 // sending to other entries.
-func (b *Board) Reports() []ToldLoad {
+func (b *Board) LoadReports() []LoadReport {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []ToldLoad
+	var out []LoadReport
 	for id, r := range b.byID {
 		age := now.Sub(r.reportedAt)
 		if !r.ownReport || age > relayTTL {
 			continue
 		}
-		out = append(out, ToldLoad{Endpoint: ShortID(id), Running: r.report.Running, Waiting: r.report.Waiting, Age: age})
+		out = append(out, LoadReport{Endpoint: ShortID(id), Running: r.report.Running, Waiting: r.report.Waiting, Age: age})
 	}
-	slices.SortFunc(out, func(a, b ToldLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b LoadReport) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
-// HearLoads merges the loads that endpoints reported to another entry. Reports newer than this
+// ReceiveLoads merges the loads that endpoints reported to another entry. Reports newer than this
 // entry's own replace them.
-func (b *Board) HearLoads(loads []ToldLoad) {
+func (b *Board) ReceiveLoads(loads []LoadReport) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/place/peer_work.go
+++ b/place/peer_work.go
@@ -26,10 +26,10 @@
 	at   time.Time
 }
 
-// Grew returns a channel that signals when outstanding work has grown enough to be sent to other entries
+// WorkGrew returns a channel that signals when outstanding work has grown enough to be sent to other entries
 // at once. An engine reads a prompt in a tenth of a second: by the next periodic message the entries of
 // a large failure domain would have sent it several more.
-func (b *Board) Grew() <-chan struct{} { return b.workGrew }
+func (b *Board) WorkGrew() <-chan struct{} { return b.workGrew }
 
 func (b *Board) addWorkLocked(work time.Duration) {
 	b.work += work
@@ -70,8 +70,8 @@
 	return out
 }
 
-// Hear stores the work reported by another entry, replacing its earlier report.
-func (b *Board) Hear(entry string, w map[uint32]time.Duration) {
+// ReceiveWork stores the work reported by another entry, replacing its earlier report.
+func (b *Board) ReceiveWork(entry string, w map[uint32]time.Duration) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -26,7 +26,7 @@
 	eps := endpoints(3, "d1")
 	b.Begin(fleet.Endpoint{ID: "e00"}, 300*time.Millisecond)
 	b.Begin(fleet.Endpoint{ID: "e02"}, 100*time.Millisecond)
-	got := b.Rank(eps, Want{Domain: "d1"})
+	got := b.Rank(eps, Request{Domain: "d1"})
 	is.Equal(got[0].ID, fleet.EndpointID("e01"))
 	is.Equal(got[1].ID, fleet.EndpointID("e02"))
 	is.Equal(got[2].ID, fleet.EndpointID("e00"))
@@ -38,13 +38,13 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
-	b.Hear("i2", map[uint32]time.Duration{ShortID("e00"): 500 * time.Millisecond})
+	b.ReceiveWork("i2", map[uint32]time.Duration{ShortID("e00"): 500 * time.Millisecond})
 	is.Equal(b.Standing("e00").Wait, 500*time.Millisecond)
 	clock.Advance(200 * time.Millisecond)
 	is.Equal(b.Standing("e00").Wait, 300*time.Millisecond)
-	b.Hear("i2", map[uint32]time.Duration{})
+	b.ReceiveWork("i2", map[uint32]time.Duration{})
 	is.Equal(b.Standing("e00").Wait, time.Duration(0))
-	b.Hear("i2", map[uint32]time.Duration{ShortID("e00"): time.Minute})
+	b.ReceiveWork("i2", map[uint32]time.Duration{ShortID("e00"): time.Minute})
 	clock.Advance(peerWorkTTL + time.Millisecond)
 	is.Equal(b.Standing("e00").Wait, time.Duration(0))
 }
@@ -55,7 +55,7 @@
 	b := NewBoard(clockwork.NewFakeClock())
 	tk := b.Begin(fleet.Endpoint{ID: "e00"}, time.Second)
 	is.Equal(b.Outstanding()["e00"], time.Second)
-	tk.First()
+	tk.FirstEvent()
 	is.Equal(len(b.Outstanding()), 0)
 	tk.End(Served)
 	tk.End(Broken) // a second call has no effect
@@ -74,7 +74,7 @@
 		b.Begin(fleet.Endpoint{ID: "e00"}, 0).End(Broken)
 	}
 	is.True(b.Standing("e00").Ejected)
-	got := b.Rank(endpoints(2, "d1"), Want{Domain: "d1"})
+	got := b.Rank(endpoints(2, "d1"), Request{Domain: "d1"})
 	is.Equal(got[0].ID, fleet.EndpointID("e01"))
 	clock.Advance(minEjection)
 	is.True(!b.Standing("e00").Ejected)
@@ -100,7 +100,7 @@
 		b.Begin(fleet.Endpoint{ID: "e00"}, 0).End(o)
 	}
 	for range 10 {
-		is.Equal(b.Rank(endpoints(2, "d1"), Want{Domain: "d1"})[0].ID, fleet.EndpointID("e01"))
+		is.Equal(b.Rank(endpoints(2, "d1"), Request{Domain: "d1"})[0].ID, fleet.EndpointID("e01"))
 	}
 	rate := b.Standing("e00").FailRate
 	clock.Advance(3 * failureDecay)
@@ -123,7 +123,7 @@
 	clock := clockwork.NewFakeClock()
 	b := NewBoard(clock)
 	tk := b.Begin(fleet.Endpoint{ID: "e00"}, 0)
-	tk.Head(&call.Load{Running: 40, Waiting: 8, Slots: 64})
+	tk.HeadReceived(&call.Load{Running: 40, Waiting: 8, Slots: 64})
 	b.Begin(fleet.Endpoint{ID: "e00"}, 0)
 	is.Equal(b.Standing("e00").Load, 49.0) // including one begun since the report
 	clock.Advance(reportTTL)
@@ -137,7 +137,7 @@
 	eps := endpoints(12, "d1", "d2", "d3")
 	moved := 0
 	for i := range 200 {
-		w := Want{Domain: "d1", Affinity: Hash(fmt.Sprint(i)), SharedTokens: 5000}
+		w := Request{Domain: "d1", Affinity: Hash(fmt.Sprint(i)), SharedTokens: 5000}
 		p := preferredEndpoint(eps, w)
 		w.Domain = "d2"
 		is.Equal(preferredEndpoint(eps, w), p) // for a long prompt it does not depend on the entry's domain
@@ -148,7 +148,7 @@
 	}
 	is.True(moved > 5)
 	is.True(moved < 40)
-	short := Want{Domain: "d2", Affinity: Hash("x"), SharedTokens: 100}
+	short := Request{Domain: "d2", Affinity: Hash("x"), SharedTokens: 100}
 	is.Equal(domainOf(eps, preferredEndpoint(eps, short)), "d2") // a short prompt stays in its domain
 }
 
@@ -188,7 +188,7 @@
 		kept := open[:0]
 		for _, j := range open {
 			if j.done <= now {
-				j.tk.First()
+				j.tk.FirstEvent()
 				j.tk.End(Served)
 				continue
 			}
@@ -203,7 +203,7 @@
 				}
 				for k, to := range boards {
 					if i != k {
-						to.Hear(fmt.Sprint(i), work)
+						to.ReceiveWork(fmt.Sprint(i), work)
 					}
 				}
 			}
@@ -213,7 +213,7 @@
 			cost = 400 * time.Millisecond
 		}
 		b := boards[random(entries)]
-		id := b.Rank(eps, Want{Domain: "d1", Affinity: random(1 << 30), SharedTokens: 100})[0].ID
+		id := b.Rank(eps, Request{Domain: "d1", Affinity: random(1 << 30), SharedTokens: 100})[0].ID
 		start := max(free[id], now)
 		longest = max(longest, start-now)
 		total += start - now
@@ -252,15 +252,15 @@
 		}
 		r.Learn("m", tokens, took)
 	}
-	t.Log(r.First("m", 500), r.First("m", 1500), r.First("m", 10000), r.First("m", 40000))
-	is.True(r.First("m", 500) > 50*time.Millisecond)
-	is.True(r.First("m", 500) < 150*time.Millisecond)
-	is.True(r.First("m", 40000) > 700*time.Millisecond)
-	is.True(r.First("m", 40000) < 1300*time.Millisecond)
-	is.True(r.Reading("m", 40000) < r.First("m", 40000))
-	before := r.First("m", 500)
+	t.Log(r.TimeToFirstEvent("m", 500), r.TimeToFirstEvent("m", 1500), r.TimeToFirstEvent("m", 10000), r.TimeToFirstEvent("m", 40000))
+	is.True(r.TimeToFirstEvent("m", 500) > 50*time.Millisecond)
+	is.True(r.TimeToFirstEvent("m", 500) < 150*time.Millisecond)
+	is.True(r.TimeToFirstEvent("m", 40000) > 700*time.Millisecond)
+	is.True(r.TimeToFirstEvent("m", 40000) < 1300*time.Millisecond)
+	is.True(r.PrefillTime("m", 40000) < r.TimeToFirstEvent("m", 40000))
+	before := r.TimeToFirstEvent("m", 500)
 	r.Learn("m", 0, time.Hour) // no tokens, so nothing to learn
-	is.Equal(r.First("m", 500), before)
+	is.Equal(r.TimeToFirstEvent("m", 500), before)
 }
 
 // Guards against a restarted endpoint being avoided for the failures of its previous incarnation, and
@@ -303,14 +303,14 @@
 func TestUsualWaitTracksLateFirstEvents(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
-	is.Equal(b.UsualWait("s"), time.Duration(0))
+	is.Equal(b.MeanWait("s"), time.Duration(0))
 	for range 40 {
-		b.Waited("s", 400*time.Millisecond)
+		b.ObserveWait("s", 400*time.Millisecond)
 	}
-	is.True(b.UsualWait("s") > 380*time.Millisecond)
-	is.Equal(b.UsualWait("another"), time.Duration(0))
+	is.True(b.MeanWait("s") > 380*time.Millisecond)
+	is.Equal(b.MeanWait("another"), time.Duration(0))
 	for range 40 {
-		b.Waited("s", -10*time.Millisecond) // earlier than expected: no wait
+		b.ObserveWait("s", -10*time.Millisecond) // earlier than expected: no wait
 	}
-	is.True(b.UsualWait("s") < 20*time.Millisecond)
+	is.True(b.MeanWait("s") < 20*time.Millisecond)
 }
--- a/place/rates.go
+++ b/place/rates.go
@@ -47,15 +47,15 @@
 	return s
 }
 
-// Reading returns the time that an engine takes to read a prompt of the given number of tokens.
-func (r *Rates) Reading(model string, tokens int) time.Duration {
+// PrefillTime returns the time that an engine takes to read a prompt of the given number of tokens.
+func (r *Rates) PrefillTime(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return milliseconds(r.modelLocked(model).rate * float64(tokens))
 }
 
-// First returns the expected time to the first event at an otherwise idle engine.
-func (r *Rates) First(model string, tokens int) time.Duration {
+// TimeToFirstEvent returns the expected time to the first event at an otherwise idle engine.
+func (r *Rates) TimeToFirstEvent(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.modelLocked(model)
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkFingerprint(b *testing.B) {
 	body := bytes.Repeat([]byte("twelve bytes"), 1000)
 	for b.Loop() {
-		Of("customer", "POST", "host.example", "/path", body)
+		FingerprintOf("customer", "POST", "host.example", "/path", body)
 	}
 }
 
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -10,9 +10,9 @@
 // and across entries.
 type Fingerprint uint64
 
-// Of returns the fingerprint of a request. On a collision with a request that crashes
+// FingerprintOf returns the fingerprint of a request. On a collision with a request that crashes
 // endpoints, a harmless request is refused.
-func Of(customer, method, host, target string, body []byte) Fingerprint {
+func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{customer, method, host, target} {
 		_, _ = d.WriteString(part) // never fails
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -31,8 +31,8 @@
 	Age      time.Duration
 }
 
-// News returns a channel that signals when other entries should be told immediately.
-func (t *Table) News() <-chan struct{} { return t.updates }
+// Updates returns a channel that signals when other entries should be told immediately.
+func (t *Table) Updates() <-chan struct{} { return t.updates }
 
 // notifyLocked signals News if a suspect has reached urgentWeight. Many requests wait or run at
 // an endpoint that crashes; these are left to the regular exchanges.
@@ -46,9 +46,9 @@
 	}
 }
 
-// Tell returns the suspects with a recent crash and those that are quarantined but not
+// Reports returns the suspects with a recent crash and those that are quarantined but not
 // recorded, in descending order of weight.
-func (t *Table) Tell() []SuspectReport {
+func (t *Table) Reports() []SuspectReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Hear merges the suspects that another entry reported.
-func (t *Table) Hear(reports []SuspectReport) {
+// Merge merges the suspects that another entry reported.
+func (t *Table) Merge(reports []SuspectReport) {
 	if len(reports) == 0 {
 		return
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -52,7 +52,7 @@
 	// Quarantined: the request crashes endpoints and must not be sent to any, for the
 	// time in For.
 	Quarantined bool
-	For         time.Duration
+	RetryAfter  time.Duration
 }
 
 // Check returns the status of a request.
@@ -65,7 +65,7 @@
 	if !quarantined {
 		return Verdict{Suspect: suspect}
 	}
-	return Verdict{Suspect: true, Quarantined: true, For: max(time.Second, retention-t.Clock.Since(since))}
+	return Verdict{Suspect: true, Quarantined: true, RetryAfter: max(time.Second, retention-t.Clock.Since(since))}
 }
 
 // Crashed records that an endpoint crashed while a request was in flight there.
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 		e.Crashed(bystander, endpoint(n), Waiting)
 	}
 	is.True(e.quarantined(bystander))
-	e.Hear([]SuspectReport{{Fingerprint: crashing, Crashes: []CrashReport{{endpoint(0), Started, 0}, {endpoint(1), Started, 0}, {endpoint(2), Started, 0}}}})
+	e.Merge([]SuspectReport{{Fingerprint: crashing, Crashes: []CrashReport{{endpoint(0), Started, 0}, {endpoint(1), Started, 0}, {endpoint(2), Started, 0}}}})
 	is.True(e.quarantined(crashing))
 	is.True(!e.quarantined(bystander))
 }
@@ -116,7 +116,7 @@
 	}
 	for _, a := range all {
 		for _, b := range all {
-			b.Hear(a.Tell())
+			b.Merge(a.Reports())
 		}
 	}
 	for _, e := range all {
@@ -131,7 +131,7 @@
 	for range 5 {
 		e.Crashed(bystander, endpoint(0), Waiting)
 		e.Crashed(bystander, endpoint(1), Running)
-		e.Hear(e.Tell())
+		e.Merge(e.Reports())
 	}
 	is.True(!e.quarantined(bystander))
 }
@@ -162,7 +162,7 @@
 	e := newIsolatedEntry(t)
 	e.Crashed(crashing, endpoint(0), Started)
 	e.Crashed(crashing, endpoint(1), Started)
-	is.True(e.Check(crashing).For == retention)
+	is.True(e.Check(crashing).RetryAfter == retention)
 	e.clock.Advance(settleTime)
 	e.Tick(context.Background())
 	e.sync()
@@ -214,7 +214,7 @@
 	}
 	is.Equal(e.State().Suspects, maxSuspects)
 	is.True(!e.Check(10).Suspect) // the oldest is evicted first
-	is.Equal(len(e.Tell()), maxReported)
+	is.Equal(len(e.Reports()), maxReported)
 	e.clock.Advance(reportFor + time.Second)
-	is.Equal(len(e.Tell()), 0)
+	is.Equal(len(e.Reports()), 0)
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -164,7 +164,7 @@
 	for i, t := range s.tables {
 		partners := 0
 		select {
-		case <-t.News():
+		case <-t.Updates():
 			partners = 3
 		default:
 		}
@@ -173,8 +173,8 @@
 		}
 		for range partners {
 			other := s.tables[s.rng.IntN(simEntries)]
-			other.Hear(t.Tell())
-			t.Hear(other.Tell())
+			other.Merge(t.Reports())
+			t.Merge(other.Reports())
 		}
 	}
 	s.now += simStep
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -10,7 +10,7 @@
 // Message returns the result of Tell as a message to other entries.
 func (t *Table) Message() []*sharedpb.Suspect {
 	var out []*sharedpb.Suspect
-	for _, r := range t.Tell() {
+	for _, r := range t.Reports() {
 		s := &sharedpb.Suspect{Fingerprint: uint64(r.Fingerprint)}
 		for _, c := range r.Crashes {
 			s.Crashes = append(s.Crashes, &sharedpb.Crash{Endpoint: string(c.Endpoint), Stage: uint32(c.Stage), AgeMs: uint32(c.Age.Milliseconds())})
@@ -20,8 +20,8 @@
 	return out
 }
 
-// HearMessage merges the suspects in another entry's message.
-func (t *Table) HearMessage(message []*sharedpb.Suspect) {
+// MergeMessage merges the suspects in another entry's message.
+func (t *Table) MergeMessage(message []*sharedpb.Suspect) {
 	reports := make([]SuspectReport, 0, len(message))
 	for _, s := range message {
 		r := SuspectReport{Fingerprint: Fingerprint(s.Fingerprint)}
@@ -30,5 +30,5 @@
 		}
 		reports = append(reports, r)
 	}
-	t.Hear(reports)
+	t.Merge(reports)
 }
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,7 +12,7 @@
 	for _, n := range []int{8, 72, 330} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := newGroup(n, 1).all[0]
-			l.Named(ep, 2)
+			l.Observe(ep, 2)
 			for b.Loop() {
 				l.Wait(ep, 0)
 			}
--- a/ratelimit/headroom.go
+++ b/ratelimit/headroom.go
@@ -11,8 +11,8 @@
 	// A request with at least heavyFactor times the mean work of its service is heavy, and may
 	// use all the room there is.
 	heavyFactor = 2
-	// LightLeaves is the headroom that other requests leave unused, in requests.
-	LightLeaves = 1.0
+	// LightHeadroom is the headroom that other requests leave unused, in requests.
+	LightHeadroom = 1.0
 	// workGain is the weight of one request in the moving average: about twenty count.
 	workGain = 0.05
 )
@@ -23,9 +23,9 @@
 	mean map[string]float64 // seconds
 }
 
-// Leaves returns the headroom that a request of a service must leave at a limited endpoint, given how
+// Headroom returns the headroom that a request of a service must leave at a limited endpoint, given how
 // long an endpoint works on it. It adds the request to the mean work of the service.
-func (l *Limits) Leaves(service string, work time.Duration) float64 {
+func (l *Limits) Headroom(service string, work time.Duration) float64 {
 	w := &l.workStats
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 	w.mean[service] = mean
 	if work.Seconds() < heavyFactor*mean {
-		return LightLeaves
+		return LightHeadroom
 	}
 	return 0
 }
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -76,8 +76,8 @@
 // Sent returns a channel that signals requests sent, which other entries should be told of at once.
 func (l *Limits) Sent() <-chan struct{} { return l.sent }
 
-// Named records the limit that an endpoint's answer announces; 0: none.
-func (l *Limits) Named(ep fleet.Endpoint, limit float64) {
+// Observe records the limit that an endpoint's answer announces; 0: none.
+func (l *Limits) Observe(ep fleet.Endpoint, limit float64) {
 	if limit <= 0 && !l.Any() {
 		return
 	}
@@ -198,9 +198,9 @@
 	return max(limitTTL, time.Duration(limitTTLRequests/e.limit*float64(time.Second)))
 }
 
-// Share reports whether, in a fleet of that many entries, an entry in entryDomain may use limited
+// MayUse reports whether, in a fleet of that many entries, an entry in entryDomain may use limited
 // endpoints in endpointDomain.
-func Share(entries int, entryDomain, endpointDomain string) bool {
+func MayUse(entries int, entryDomain, endpointDomain string) bool {
 	return entries <= maxEntriesSharing || entryDomain == endpointDomain
 }
 
@@ -232,7 +232,7 @@
 	entries := l.Entries()
 	sharing, heard, registered := 0, 0, false
 	for _, e := range entries {
-		if !Share(len(entries), e.Domain, domain) {
+		if !MayUse(len(entries), e.Domain, domain) {
 			continue
 		}
 		sharing++
@@ -244,7 +244,7 @@
 		}
 	}
 	switch {
-	case !Share(len(entries), l.Domain, domain) && sharing > 0:
+	case !MayUse(len(entries), l.Domain, domain) && sharing > 0:
 		return 0
 	case !registered:
 		sharing++ // this entry is not registered yet
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -39,10 +39,10 @@
 
 // tell delivers the reports of one entry to those for which hears returns true.
 func (g *group) tell(from int, hears func(to int) bool) {
-	reports := g.all[from].Tell()
+	reports := g.all[from].Reports()
 	for to, l := range g.all {
 		if to != from && hears(to) {
-			l.Hear(g.all[from].Instance, reports)
+			l.ReceiveReports(g.all[from].Instance, reports)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		for i, l := range g.all {
 			if rng.Float64() < perStep/float64(len(g.all)) && l.Wait(ep, g.headroom) == 0 && l.Take(ep, g.headroom) {
 				count++
-				l.Named(ep, limit)
+				l.Observe(ep, limit)
 				senders = append(senders, i)
 			}
 			if n%25 == i%25 {
@@ -72,7 +72,7 @@
 		g.clock.Advance(step)
 		if n%100 == 0 {
 			for _, l := range g.all {
-				l.Learn(g.all[0].Tell())
+				l.Merge(g.all[0].Reports())
 			}
 		}
 		for _, i := range senders {
@@ -111,8 +111,8 @@
 		limit := rapid.Float64Range(0.2, 20).Draw(t, "limit")
 		g := newGroup(rapid.IntRange(1, 16).Draw(t, "entries"), 1)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		g.headroom = rapid.SampledFrom([]float64{0, LightLeaves}).Draw(t, "leaves")
-		g.all[0].Named(ep, limit)
+		g.headroom = rapid.SampledFrom([]float64{0, LightHeadroom}).Draw(t, "leaves")
+		g.all[0].Observe(ep, limit)
 		g.tell(0, everyone)
 		got := g.demand(40*time.Second, limit, demandFor(limit), rng, func(int, int) bool { return true })
 		if m := most(got); m > mayGet(limit) {
@@ -130,7 +130,7 @@
 		limit := rapid.Float64Range(0.2, 20).Draw(t, "limit")
 		g := newGroup(rapid.IntRange(2, 16).Draw(t, "entries"), 1)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		g.all[0].Named(ep, limit)
+		g.all[0].Observe(ep, limit)
 		g.tell(0, everyone)
 		got := g.demand(20*time.Second, limit, demandFor(limit), rng, func(int, int) bool { return rng.Float64() > 0.3 })
 		if m := most(got); m > mayGet(limit) {
@@ -145,7 +145,7 @@
 	const limit = 6.0
 	g := newGroup(8, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
-	g.all[0].Named(ep, limit)
+	g.all[0].Observe(ep, limit)
 	g.tell(0, everyone)
 	got := g.demand(20*time.Second, limit, 1, rng, func(from, to int) bool { return from%2 == to%2 })
 	is.True(most(got[400:]) <= mayGet(limit))
@@ -158,7 +158,7 @@
 	const limit = 4.0
 	g := newGroup(8, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
-	g.all[0].Named(ep, limit)
+	g.all[0].Observe(ep, limit)
 	g.tell(0, everyone)
 	g.all = g.all[:6] // two are gone but still registered
 	got := g.demand(20*time.Second, limit, 1, rng, func(int, int) bool { return true })
@@ -170,11 +170,11 @@
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
-	l.Named(ep, 0.5)
+	l.Observe(ep, 0.5)
 	for l.Take(ep, 0) {
 	}
 	is.True(l.Wait(ep, 0) > 0)
-	g.clock.Advance(l.byID[g.all[0].Tell()[0].Endpoint].ttl() + time.Millisecond)
+	g.clock.Advance(l.byID[g.all[0].Reports()[0].Endpoint].ttl() + time.Millisecond)
 	for range 100 {
 		is.True(l.Take(ep, 0))
 	}
@@ -184,19 +184,19 @@
 func TestLimitRemovalPropagates(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
-	g.all[0].Named(ep, 0.5)
+	g.all[0].Observe(ep, 0.5)
 	g.tell(0, everyone)
 	for g.all[1].Take(ep, 0) {
 	}
 	g.clock.Advance(time.Millisecond)
-	g.all[0].Named(ep, 0)
+	g.all[0].Observe(ep, 0)
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
 	g.tell(1, everyone) // an older report changes nothing
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
 	g.tell(0, everyone)
 	is.Equal(g.all[1].Wait(ep, 0), time.Duration(0))
 	g.clock.Advance(removedTTL + time.Second)
-	is.Equal(len(g.all[0].Tell()), 0)
+	is.Equal(len(g.all[0].Reports()), 0)
 }
 
 // Guards against entries that do not exchange reports using the same limit.
@@ -206,7 +206,7 @@
 	g := newGroup(60, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, l := range g.all {
-		l.Named(ep, limit)
+		l.Observe(ep, limit)
 	}
 	is.True(g.all[0].Take(ep, 0))  // in the endpoint's domain
 	is.True(!g.all[1].Take(ep, 0)) // in another domain
@@ -220,9 +220,9 @@
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
-	l.Hear("i1", []Told{{Endpoint: 7, Limit: 1, Sent: 40}})
+	l.ReceiveReports("i1", []Report{{Endpoint: 7, Limit: 1, Sent: 40}})
 	g.clock.Advance(time.Minute / 6)
-	l.Hear("i1", []Told{{Endpoint: 7, Limit: 1, Sent: 1}})
+	l.ReceiveReports("i1", []Report{{Endpoint: 7, Limit: 1, Sent: 1}})
 	is.Equal(l.byID[7].bucket.level >= 1, true)
 	is.True(l.byID[7].bucket.level < 40)
 }
@@ -234,16 +234,16 @@
 	g := newGroup(1, 1)
 	l := g.all[0]
 	const limit = 2.0
-	l.Named(ep, limit)
+	l.Observe(ep, limit)
 	heavy, light := 0, 0
 	for n := range 3000 { // 30 s
 		work := 10 * time.Millisecond
 		if n%20 == 0 {
 			work = 100 * time.Millisecond
 		}
-		headroom := l.Leaves("s", work)
+		headroom := l.Headroom("s", work)
 		if l.Take(ep, headroom) {
-			l.Named(ep, limit)
+			l.Observe(ep, limit)
 			if headroom == 0 {
 				heavy++
 			} else {
@@ -254,7 +254,7 @@
 	}
 	is.True(float64(heavy+light) >= 0.9*limit*30) // all of it is used
 	is.True(heavy > 4*light)
-	is.Equal(l.Leaves("plain", 0), 0.0) // without known work all requests are alike
+	is.Equal(l.Headroom("plain", 0), 0.0) // without known work all requests are alike
 }
 
 // Guards against limits of endpoints that are gone being kept, and looked up, forever.
@@ -262,10 +262,10 @@
 	is := is.New(t)
 	g := newGroup(2, 1)
 	l := g.all[0]
-	l.Named(ep, 2)
-	l.Hear("i1", nil)
+	l.Observe(ep, 2)
+	l.ReceiveReports("i1", nil)
 	g.clock.Advance(limitTTL + time.Second)
-	is.Equal(len(l.Tell()), 0)
+	is.Equal(len(l.Reports()), 0)
 	is.True(!l.Any())
 	is.Equal(len(l.heard), 0)
 }
@@ -275,10 +275,10 @@
 func TestLimitIsRoundedAsOnTheWire(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(2, 1)
-	g.all[0].Named(ep, 1.23456789)
-	is.True(g.all[1].LearnMessage(g.all[0].Message()))
+	g.all[0].Observe(ep, 1.23456789)
+	is.True(g.all[1].MergeMessage(g.all[0].Message()))
 	is.Equal(g.all[0].Limit(ep), g.all[1].Limit(ep))
 	g.clock.Advance(time.Millisecond)
-	g.all[1].Named(ep, 1.23456789)
-	is.True(!g.all[0].LearnMessage(g.all[1].Message()))
+	g.all[1].Observe(ep, 1.23456789)
+	is.True(!g.all[0].MergeMessage(g.all[1].Message()))
 }
--- a/ratelimit/reports.go
+++ b/ratelimit/reports.go
@@ -9,8 +9,8 @@
 	"github.com/lovageweir/lovageweir/fleet"
 )
 
-// Told is an entry's report on one limited endpoint, as sent to other entries.
-type Told struct {
+// Report is an entry's report on one limited endpoint, as sent to other entries.
+type Report struct {
 	Endpoint uint32 // short id
 	// Limit is in requests per second; 0: the endpoint no longer announces one.
 	Limit float64
@@ -20,31 +20,31 @@
 	Sent uint32
 }
 
-// Tell returns the reports to send to other entries, sorted by endpoint. It removes expired limits
+// Reports returns the reports to send to other entries, sorted by endpoint. It removes expired limits
 // and entries that have not reported for peerTTL.
-func (l *Limits) Tell() []Told {
+func (l *Limits) Reports() []Report {
 	if !l.Any() {
 		return nil
 	}
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]Told, 0, len(l.byID))
+	out := make([]Report, 0, len(l.byID))
 	for id, e := range l.byID {
 		age := now.Sub(e.updatedAt)
 		if age > e.ttl() {
 			l.forgetLocked(id, e)
 			continue
 		}
-		out = append(out, Told{Endpoint: id, Limit: e.limit, Age: age, Sent: e.sent})
+		out = append(out, Report{Endpoint: id, Limit: e.limit, Age: age, Sent: e.sent})
 	}
 	maps.DeleteFunc(l.heard, func(_ string, at time.Time) bool { return now.Sub(at) > peerTTL })
-	slices.SortFunc(out, func(a, b Told) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b Report) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
-// Hear processes the reports of another entry. An empty list counts as a sign of life.
-func (l *Limits) Hear(entry string, reports []Told) {
+// ReceiveReports processes the reports of another entry. An empty list counts as a sign of life.
+func (l *Limits) ReceiveReports(entry string, reports []Report) {
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,9 +58,9 @@
 	}
 }
 
-// Learn merges the limits known to another entry without its sent counts: entries that do not use
+// Merge merges the limits known to another entry without its sent counts: entries that do not use
 // an endpoint must know of its limit as well. It reports whether any limit changed.
-func (l *Limits) Learn(reports []Told) (changed bool) {
+func (l *Limits) Merge(reports []Report) (changed bool) {
 	if len(reports) == 0 {
 		return false
 	}
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -10,7 +10,7 @@
 
 // State returns the current limits for the state dump.
 func (l *Limits) State() []EndpointState {
-	reports := l.Tell()
+	reports := l.Reports()
 	out := make([]EndpointState, 0, len(reports))
 	for _, r := range reports {
 		out = append(out, EndpointState{r.Endpoint, r.Limit, r.Age.Milliseconds(), r.Sent})
--- a/ratelimit/wire.go
+++ b/ratelimit/wire.go
@@ -19,17 +19,17 @@
 // Message returns the known limits as a wire message.
 func (l *Limits) Message() []*sharedpb.Limit {
 	var out []*sharedpb.Limit
-	for _, t := range l.Tell() {
+	for _, t := range l.Reports() {
 		out = append(out, &sharedpb.Limit{Endpoint: t.Endpoint, Thousandths: Thousandths(t.Limit), AgeMs: uint32(t.Age.Milliseconds())})
 	}
 	return out
 }
 
-// LearnMessage merges the limits in a message of another entry, and reports whether any changed.
-func (l *Limits) LearnMessage(message []*sharedpb.Limit) (changed bool) {
-	limits := make([]Told, 0, len(message))
+// MergeMessage merges the limits in a message of another entry, and reports whether any changed.
+func (l *Limits) MergeMessage(message []*sharedpb.Limit) (changed bool) {
+	limits := make([]Report, 0, len(message))
 	for _, t := range message {
-		limits = append(limits, Told{Endpoint: t.Endpoint, Limit: OfThousandths(t.Thousandths), Age: time.Duration(t.AgeMs) * time.Millisecond})
+		limits = append(limits, Report{Endpoint: t.Endpoint, Limit: OfThousandths(t.Thousandths), Age: time.Duration(t.AgeMs) * time.Millisecond})
 	}
-	return l.Learn(limits)
+	return l.Merge(limits)
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -27,19 +27,19 @@
 	Window time.Duration // length of the sliding window
 }
 
-// Use is the purpose of a repeat, as the share of the bound that such repeats may use up.
-type Use float64
+// Purpose is the purpose of a repeat, as the share of the bound that such repeats may use up.
+type Purpose float64
 
 const (
 	// ForFailure repeats may use up to four fifths of the bound. The rest absorbs the effect
 	// of unequal load across entries.
-	ForFailure Use = 0.8
+	ForFailure Purpose = 0.8
 	// ForQuality repeats (the same request to a larger model) leave room for those
 	// after failures.
-	ForQuality Use = 0.79
+	ForQuality Purpose = 0.79
 	// ForTrial repeats (copies to an endpoint of a new version for some seconds
 	// of a rollout) leave room for those after failures.
-	ForTrial Use = 0.7
+	ForTrial Purpose = 0.7
 )
 
 // reservedPerFailure is how many further repeats after failures are expected for each one
@@ -117,8 +117,8 @@
 	return ring, index
 }
 
-// Earn counts a caller's request for a service, which raises the number of repeats allowed.
-func (b *Budget) Earn(service string) {
+// AddRequest counts a caller's request for a service, which raises the number of repeats allowed.
+func (b *Budget) AddRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ring, index := b.ringLocked(service)
@@ -126,7 +126,7 @@
 }
 
 // Take reports whether one more repeat is allowed, and counts it if so.
-func (b *Budget) Take(service string, use Use) bool {
+func (b *Budget) Take(service string, use Purpose) bool {
 	entries := float64(max(1, b.entries()))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,16 +150,16 @@
 
 // allowsOneMore reports whether the bound allows one more repeat on top of a count; extra is
 // the part of the extra allowance that applies.
-func (b *Budget) allowsOneMore(c Count, extra float64, use Use) bool {
+func (b *Budget) allowsOneMore(c Count, extra float64, use Purpose) bool {
 	return c.usedFor(use)+1 <= b.allowed(c, extra, use)
 }
 
-func (b *Budget) allowed(c Count, extra float64, use Use) float64 {
+func (b *Budget) allowed(c Count, extra float64, use Purpose) float64 {
 	return float64(use) * (b.bounds.Ratio*c.Requests + extra)
 }
 
 // usedFor returns the repeats charged against the share of a use.
-func (c Count) usedFor(use Use) float64 {
+func (c Count) usedFor(use Purpose) float64 {
 	if use == ForQuality {
 		return c.Repeats + reservedPerFailure*c.Failures
 	}
@@ -218,8 +218,8 @@
 	return out
 }
 
-// Hear stores the counts of another entry, replacing its earlier ones.
-func (b *Budget) Hear(entry string, counts []ServiceCount) {
+// ReceiveCounts stores the counts of another entry, replacing its earlier ones.
+func (b *Budget) ReceiveCounts(entry string, counts []ServiceCount) {
 	t := peerCounts{counts: make(map[uint32]Count, len(counts)), at: b.clock.Now()}
 	for _, c := range counts {
 		t.counts[c.Service] = c.Count
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -39,12 +39,12 @@
 				from := rapid.IntRange(0, entries-1).Draw(t, "from")
 				for to := range entries {
 					if to != from {
-						all[to].Hear(fmt.Sprint(from), all[from].Counts())
+						all[to].ReceiveCounts(fmt.Sprint(from), all[from].Counts())
 					}
 				}
 			}
 			b := all[rapid.IntRange(0, entries-1).Draw(t, "entry")]
-			b.Earn("s")
+			b.AddRequest("s")
 			events = append(events, event{now, false})
 			for range rapid.IntRange(0, 4).Draw(t, "asks") {
 				if b.Take("s", ForFailure) {
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	b := New(bounds, func() int { return 8 }, clockwork.NewFakeClock())
 	for range 100 {
-		b.Earn("s")
+		b.AddRequest("s")
 	}
 	quality := 0
 	for b.Take("s", ForQuality) {
@@ -92,11 +92,11 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := New(bounds, func() int { return 56 }, clock)
-	b.Earn("s")
+	b.AddRequest("s")
 	is.True(b.Take("s", ForFailure))
 	is.True(!b.Take("s", ForFailure))
 	clock.Advance(bounds.Window + time.Second)
-	b.Earn("s")
+	b.AddRequest("s")
 	is.True(b.Take("s", ForFailure))
 }
 
@@ -107,7 +107,7 @@
 	is := is.New(t)
 	b := New(bounds, func() int { return 8 }, clockwork.NewFakeClock())
 	for range 100 {
-		b.Earn("s")
+		b.AddRequest("s")
 	}
 	for range 30 {
 		is.True(b.Take("s", ForFailure))
@@ -134,10 +134,10 @@
 	take := func(othersRepeat float64) int {
 		b := New(bounds, func() int { return 8 }, clock)
 		for range 20 {
-			b.Earn("s")
+			b.AddRequest("s")
 		}
 		for _, entry := range []string{"i2", "i3"} {
-			b.Hear(entry, []ServiceCount{{serviceHash("s"), Count{Requests: 20, Repeats: othersRepeat}}})
+			b.ReceiveCounts(entry, []ServiceCount{{serviceHash("s"), Count{Requests: 20, Repeats: othersRepeat}}})
 		}
 		n := 0
 		for b.Take("s", ForQuality) {
@@ -151,10 +151,10 @@
 	is.Equal(take(19), own+2) // less the repeats of the others
 	// Expired counts are ignored.
 	b := New(bounds, func() int { return 8 }, clock)
-	b.Hear("i2", []ServiceCount{{serviceHash("s"), Count{Requests: 1000}}})
+	b.ReceiveCounts("i2", []ServiceCount{{serviceHash("s"), Count{Requests: 1000}}})
 	clock.Advance(peerCountsTTL + time.Millisecond)
 	for range 20 {
-		b.Earn("s")
+		b.AddRequest("s")
 	}
 	n := 0
 	for b.Take("s", ForQuality) {
@@ -171,7 +171,7 @@
 	clock := clockwork.NewFakeClock()
 	b := New(bounds, func() int { return 8 }, clock)
 	for range 100 {
-		b.Earn("s")
+		b.AddRequest("s")
 	}
 	for range 30 {
 		is.True(b.Take("s", ForFailure))
--- a/rollout/badrates_test.go
+++ b/rollout/badrates_test.go
@@ -63,7 +63,7 @@
 		x.clock.Advance(each)
 		g := e.group()
 		q := Request{ID: fmt.Sprint(seed, "-", i), Route: route(r)}
-		first := e.Choose(g, q).First
+		first := e.Choose(g, q).Preferred
 		ep := first[r.IntN(len(first))]
 		a := answer(r, ep.Version, q.Route)
 		out.requests++
--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -9,9 +9,9 @@
 
 // Choice holds the endpoints that may get a request.
 type Choice struct {
-	// First are the endpoints of the version selected for the request, Then those used if
-	// none of First can take it.
-	First, Then []fleet.Endpoint
+	// Preferred are the endpoints of the version selected for the request, Fallback those used if
+	// none of Preferred can take it.
+	Preferred, Fallback []fleet.Endpoint
 	// LastResort are endpoints with a lapsed registration, tried if neither can. A halted
 	// or rolled-back version gets none of these either: an endpoint that is partitioned
 	// from the store still answers its callers badly.
@@ -32,12 +32,12 @@
 	defer c.mu.Unlock()
 	c.strataLocked(g.Service.Name).note(q)
 	if r == nil {
-		return Choice{First: g.Ready, LastResort: g.Lapsed}
+		return Choice{Preferred: g.Ready, LastResort: g.Lapsed}
 	}
 	t := c.trackerLocked(r)
 	older, newer := splitByVersion(g.Ready, r.Target)
 	if r.State != fleet.RolloutDone && (t.halted || r.State == fleet.RolloutRolledBack) {
-		return Choice{First: older, LastResort: lapsedWithout(g.Lapsed, r.Target)}
+		return Choice{Preferred: older, LastResort: lapsedWithout(g.Lapsed, r.Target)}
 	}
 	choice := c.chooseLocked(g, t, q, older, newer)
 	choice.LastResort = g.Lapsed
@@ -49,20 +49,20 @@
 	r := g.Rollout
 	switch {
 	case r.State == fleet.RolloutDone:
-		return Choice{First: newer, Then: older}
+		return Choice{Preferred: newer, Fallback: older}
 	case len(newer) == 0:
-		return Choice{First: older}
+		return Choice{Preferred: older}
 	}
 	overall := c.shareLocked(t, r, len(older))
 	share := c.routeShareLocked(t, q, g, overall)
 	if c.routedToNewLocked(r, q, share) {
-		return Choice{First: c.canaryEndpoints(r, newer, len(older), overall), Then: older}
+		return Choice{Preferred: c.canaryEndpoints(r, newer, len(older), overall), Fallback: older}
 	}
 	if len(older) == 0 {
-		return Choice{First: newer}
+		return Choice{Preferred: newer}
 	}
 	if !t.promotedAt.IsZero() || t.holdingHalf {
-		return Choice{First: older}
+		return Choice{Preferred: older}
 	}
 	position := q.position(r.Target)
 	return t.endpointOrderLocked(g).choose(position >= share && position < 2*share)
@@ -220,9 +220,9 @@
 	return sorted[:n]
 }
 
-// Keep records a request of a session, if the session is among those that a roll-out moves
+// RecordSession records a request of a session, if the session is among those that a roll-out moves
 // first and is not on the new version.
-func (c *Controller) Keep(session string, g *fleet.Group, version string) {
+func (c *Controller) RecordSession(session string, g *fleet.Group, version string) {
 	if session == "" || g.Rollout != nil && !isFinal(g.Rollout.State) && version == g.Rollout.Target {
 		return
 	}
--- a/rollout/controlgroup.go
+++ b/rollout/controlgroup.go
@@ -55,13 +55,13 @@
 func (r *endpointOrder) choose(inControl bool) Choice {
 	n := controlSize(len(r.older))
 	if n == len(r.older) {
-		return Choice{First: r.older}
+		return Choice{Preferred: r.older}
 	}
 	control, others := r.older[:n:n], r.older[n:]
 	if inControl {
-		return Choice{First: control, Then: others}
+		return Choice{Preferred: control, Fallback: others}
 	}
-	return Choice{First: others, Then: control}
+	return Choice{Preferred: others, Fallback: control}
 }
 
 // memberOf returns an endpoint's group in the comparison, if it has one, and the half of
--- a/rollout/controlgroup_test.go
+++ b/rollout/controlgroup_test.go
@@ -16,7 +16,7 @@
 func chosen(e *entry, n int) (perEndpoint map[fleet.EndpointID]float64) {
 	perEndpoint = map[fleet.EndpointID]float64{}
 	for i := range n {
-		first := e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).First
+		first := e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).Preferred
 		for _, ep := range first {
 			perEndpoint[ep.ID] += 1 / float64(len(first))
 		}
@@ -54,8 +54,8 @@
 	// Other old endpoints take requests that the group's cannot.
 	for i := range 50 {
 		c := x.entries[0].Choose(x.entries[0].group(), Request{ID: fmt.Sprint(i)})
-		if c.First[0].Version == "v1" {
-			x.is.Equal(len(c.First)+len(c.Then), len(older))
+		if c.Preferred[0].Version == "v1" {
+			x.is.Equal(len(c.Preferred)+len(c.Fallback), len(older))
 		}
 	}
 }
@@ -69,8 +69,8 @@
 	}
 	is.Equal(controlSize(minForControlGroup), 2)
 	r := endpointOrder{older: make([]fleet.Endpoint, 3)}
-	is.Equal(len(r.choose(true).First), 3)
-	is.Equal(len(r.choose(false).First), 3)
+	is.Equal(len(r.choose(true).Preferred), 3)
+	is.Equal(len(r.choose(false).Preferred), 3)
 }
 
 // After promotion or a halt nothing is compared, and there is no control group.
@@ -82,7 +82,7 @@
 	}
 	older, _ := splitByVersion(x.entries[0].group().Ready, "v2")
 	for i := range 50 {
-		x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: fmt.Sprint(i)}).First), len(older))
+		x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: fmt.Sprint(i)}).Preferred), len(older))
 	}
 }
 
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -9,16 +9,16 @@
 
 // Roll-out state exchanged between entries.
 type (
-	// Told is the state of one order on an entry.
-	Told struct {
+	// OrderState is the state of one order on an entry.
+	OrderState struct {
 		Service string
 		Ordered kv.Revision
 		Age     time.Duration
 		Halted  bool
-		// Moved is the time since the entry raised the share above the canary share, if
+		// PromotedAgo is the time since the entry raised the share above the canary share, if
 		// HasMoved.
-		Moved    time.Duration
-		HasMoved bool
+		PromotedAgo time.Duration
+		Promoted    bool
 	}
 	// Row holds the counts of one source.
 	Row struct {
@@ -27,12 +27,12 @@
 	}
 )
 
-// Tell returns the orders, counts and sessions to send to other entries.
-func (c *Controller) Tell() ([]Told, []Row, []Session) {
+// Snapshot returns the orders, counts and sessions to send to other entries.
+func (c *Controller) Snapshot() ([]OrderState, []Row, []Session) {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var told []Told
+	var told []OrderState
 	var rows []Row
 	for service, t := range c.trackers {
 		g := v.Group(service)
@@ -42,11 +42,11 @@
 		if g.Rollout.State == fleet.RolloutRolledBack {
 			// An entry with a stale copy of the store treats the order as running, and this
 			// one may never have halted the version itself.
-			told = append(told, Told{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
+			told = append(told, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
 			continue
 		}
-		told = append(told, Told{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
-			HasMoved: !t.promotedAt.IsZero(), Moved: c.Clock.Since(t.promotedAt)})
+		told = append(told, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
+			Promoted: !t.promotedAt.IsZero(), PromotedAgo: c.Clock.Since(t.promotedAt)})
 		for s, n := range t.evidence.rows {
 			rows = append(rows, Row{s, n})
 		}
@@ -54,8 +54,8 @@
 	return told, rows, c.sessions.snapshot(c.Clock.Now())
 }
 
-// Hear merges the state received from another entry.
-func (c *Controller) Hear(told []Told, rows []Row, active []Session) {
+// Merge merges the state received from another entry.
+func (c *Controller) Merge(told []OrderState, rows []Row, active []Session) {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +70,8 @@
 		if seen := c.Clock.Now().Add(-o.Age); seen.Before(t.seen) {
 			t.seen = seen
 		}
-		if o.HasMoved && t.promotedAt.IsZero() && t.late(v.Group(o.Service).Rollout.Duration) {
-			t.promotedAt = c.Clock.Now().Add(-o.Moved)
+		if o.Promoted && t.promotedAt.IsZero() && t.late(v.Group(o.Service).Rollout.Duration) {
+			t.promotedAt = c.Clock.Now().Add(-o.PromotedAgo)
 		}
 		if o.Halted && !t.halted {
 			t.halted = true
--- a/rollout/observe.go
+++ b/rollout/observe.go
@@ -30,9 +30,9 @@
 // requests, may be slow without the version being at fault.
 const lossGracePeriod = 4 * time.Second
 
-// Lost records that an endpoint accepts no connections. It is ignored for endpoints of
+// RecordLoss records that an endpoint accepts no connections. It is ignored for endpoints of
 // other versions than the new one.
-func (c *Controller) Lost(g *fleet.Group, ep fleet.Endpoint) {
+func (c *Controller) RecordLoss(g *fleet.Group, ep fleet.Endpoint) {
 	if g.Rollout == nil || ep.Version != g.Rollout.Target {
 		return
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -154,7 +154,7 @@
 	const n = 4000
 	toNew := 0
 	for i := range n {
-		if e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).First[0].Version == "v2" {
+		if e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).Preferred[0].Version == "v2" {
 			toNew++
 		}
 	}
@@ -182,7 +182,7 @@
 	x.is.Equal(x.state(), fleet.RolloutRunning)
 	x.advance(9 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutDone)
-	x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: "q"}).First), 6)
+	x.is.Equal(len(x.entries[0].Choose(x.entries[0].group(), Request{ID: "q"}).Preferred), 6)
 }
 
 // Guards against a bad version getting requests after it was detected. One entry sees its
@@ -194,7 +194,7 @@
 		x.entries[1].answer(6+i%2, i%2 == 0 || i%3 == 0)
 	}
 	x.is.Equal(share(x.entries[1]), 0.0)
-	x.entries[2].Hear(x.entries[1].Tell())
+	x.entries[2].Merge(x.entries[1].Snapshot())
 	x.is.Equal(share(x.entries[2]), 0.0)
 	x.advance(3 * time.Second)
 	x.is.Equal(x.state(), fleet.RolloutRolledBack)
@@ -219,7 +219,7 @@
 	for range 3 {
 		for _, from := range x.entries {
 			for _, to := range x.entries {
-				to.Hear(from.Tell())
+				to.Merge(from.Snapshot())
 			}
 		}
 	}
@@ -389,7 +389,7 @@
 	x.advance(19 * time.Second)
 	restarted := New(x.entries[0].Deps)
 	restarted.Choose(x.entries[0].group(), Request{ID: "q"})
-	restarted.Hear(x.entries[1].Tell())
+	restarted.Merge(x.entries[1].Snapshot())
 	x.entries[0].Controller = restarted
 	x.is.Equal(share(x.entries[0]), 1.0)
 }
@@ -421,19 +421,19 @@
 		before := rapid.Bool().Draw(rt, "under way before the order")
 		serve := func() string {
 			e := x.entries[rapid.IntRange(0, 2).Draw(rt, "entry")]
-			v := e.Choose(e.group(), Request{ID: "q", Session: session}).First[0].Version
-			e.Keep(session, e.group(), v)
+			v := e.Choose(e.group(), Request{ID: "q", Session: session}).Preferred[0].Version
+			e.RecordSession(session, e.group(), v)
 			return v
 		}
 		exchange := func() {
 			for i := range x.entries {
-				x.entries[(i+1)%3].Hear(x.entries[i].Tell())
-				x.entries[i].Hear(x.entries[(i+1)%3].Tell())
+				x.entries[(i+1)%3].Merge(x.entries[i].Snapshot())
+				x.entries[i].Merge(x.entries[(i+1)%3].Snapshot())
 			}
 		}
 		last := ""
 		if before {
-			x.entries[0].Keep(session, x.entries[0].group(), "v1")
+			x.entries[0].RecordSession(session, x.entries[0].group(), "v1")
 			last = "v1"
 		}
 		for i := range 24 {
@@ -459,17 +459,17 @@
 	moved, stayed := 0, 0
 	for i := range 1000 {
 		old, fresh := fmt.Sprint("old", i), fmt.Sprint("new", i)
-		e.Keep(old, e.group(), "v1")
-		if e.Choose(e.group(), Request{Session: old}).First[0].Version == "v2" {
+		e.RecordSession(old, e.group(), "v1")
+		if e.Choose(e.group(), Request{Session: old}).Preferred[0].Version == "v2" {
 			stayed++
 		}
-		if e.Choose(e.group(), Request{Session: fresh}).First[0].Version == "v2" {
+		if e.Choose(e.group(), Request{Session: fresh}).Preferred[0].Version == "v2" {
 			moved++
 		}
 	}
 	x.is.Equal(stayed, 0)
 	x.is.True(moved > 30 && moved < 120)
-	_, _, told := e.Tell()
+	_, _, told := e.Snapshot()
 	x.is.True(len(told) < 120) // only sessions that would move are exchanged
 }
 
@@ -602,8 +602,8 @@
 	for i := range 100 {
 		answer(i, "v1", 40*time.Millisecond)
 	}
-	e.Lost(e.group(), fleet.Endpoint{ID: "e00", Version: "v1"}) // an old endpoint, ignored
-	e.Lost(e.group(), fleet.Endpoint{ID: "e06", Version: "v2"})
+	e.RecordLoss(e.group(), fleet.Endpoint{ID: "e00", Version: "v1"}) // an old endpoint, ignored
+	e.RecordLoss(e.group(), fleet.Endpoint{ID: "e06", Version: "v2"})
 	for i := range 100 {
 		x.clock.Advance(39 * time.Millisecond)
 		answer(i, "v2", 400*time.Millisecond)
@@ -649,15 +649,15 @@
 	x.advance(18 * time.Second)
 	e := x.entries[0]
 	e.Controller = New(e.Deps)
-	e.Hear([]Told{{Service: "s", Ordered: e.group().Rollout.Ordered, Age: 18 * time.Second}}, nil, nil)
+	e.Merge([]OrderState{{Service: "s", Ordered: e.group().Rollout.Ordered, Age: 18 * time.Second}}, nil, nil)
 	for i := range 60 {
 		x.clock.Advance(50 * time.Millisecond)
 		c := e.Choose(e.group(), Request{ID: fmt.Sprint(i)})
 		took := 50 * time.Millisecond
-		if c.First[0].Version == "v2" {
+		if c.Preferred[0].Version == "v2" {
 			took = 400 * time.Millisecond
 		}
-		e.Observe(Answer{Group: e.group(), Endpoint: c.First[0], Route: "r", Took: took, Pace: true})
+		e.Observe(Answer{Group: e.group(), Endpoint: c.Preferred[0], Route: "r", Took: took, Pace: true})
 	}
 	x.advance(6 * time.Second)
 	x.is.True(x.state() != fleet.RolloutDone)
@@ -702,7 +702,7 @@
 	late := x.entries[1]
 	late.Controller = New(late.Deps)
 	x.is.True(share(late) < 0.0975)
-	late.Hear(x.entries[0].Tell())
+	late.Merge(x.entries[0].Snapshot())
 	x.is.Equal(share(late), 1.0)
 }
 
--- a/rollout/trial_test.go
+++ b/rollout/trial_test.go
@@ -65,7 +65,7 @@
 		x.clock.Advance(streamInterval)
 		now := x.clock.Now()
 		g := e.group()
-		first := e.Choose(g, Request{ID: fmt.Sprint(i)}).First
+		first := e.Choose(g, Request{ID: fmt.Sprint(i)}).Preferred
 		ep := first[i%len(first)]
 		running := load.run(ep.ID, now)
 		nth[ep.ID]++
--- a/rollout/withdrawn_test.go
+++ b/rollout/withdrawn_test.go
@@ -34,7 +34,7 @@
 	out := map[string]bool{}
 	for i := range 500 {
 		choice := e.Choose(e.group(), Request{ID: fmt.Sprint(i)})
-		for _, eps := range [][]fleet.Endpoint{choice.First, choice.Then} {
+		for _, eps := range [][]fleet.Endpoint{choice.Preferred, choice.Fallback} {
 			for _, ep := range eps {
 				out[ep.Version] = true
 			}
@@ -147,7 +147,7 @@
 	x.is.Equal(allowedVersions(e), map[string]bool{"v1": true})
 	x.put("status/rollout/s", []byte(`{"target":"v2","state":"done"}`))
 	x.sync()
-	x.is.Equal(e.Choose(e.group(), Request{ID: "q"}).First[0].Version, "v2")
+	x.is.Equal(e.Choose(e.group(), Request{ID: "q"}).Preferred[0].Version, "v2")
 }
 
 // Guards against one entry sending to a version that all others halted. Its copy of the
@@ -164,6 +164,6 @@
 	x.sync(knows)
 	x.is.Equal(knows.group().Rollout.State, fleet.RolloutRolledBack)
 	x.is.True(share(behind) > 0)
-	behind.Hear(knows.Tell())
+	behind.Merge(knows.Snapshot())
 	x.is.Equal(share(behind), 0.0)
 }
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -246,7 +246,7 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			var line standin.Printed
+			var line standin.EngineLine
 			if json.Unmarshal(lines.Bytes(), &line) != nil {
 				continue
 			}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -99,14 +99,14 @@
 // State is the engine's state dump.
 type State struct {
 	openai.LoadReport
-	Loaded  string           `json:"loaded"`
-	Fence   int64            `json:"fence"`
-	Stale   int64            `json:"stale_orders_refused"`
-	Served  int64            `json:"served"`
-	Refused int64            `json:"refused"`
-	Ran     map[string]int64 `json:"ran"`
-	Cache   CacheState       `json:"cache"`
-	Faults  Faults           `json:"faults"`
+	Loaded      string           `json:"loaded"`
+	Fence       int64            `json:"fence"`
+	StaleOrders int64            `json:"stale_orders_refused"`
+	Served      int64            `json:"served"`
+	Refused     int64            `json:"refused"`
+	Ran         map[string]int64 `json:"ran"`
+	Cache       CacheState       `json:"cache"`
+	Faults      Faults           `json:"faults"`
 }
 
 func (e *Engine) currentLoadLocked() openai.LoadReport {
@@ -122,7 +122,7 @@
 	for k, v := range e.requestsByModel {
 		ran[k] = v
 	}
-	return State{LoadReport: e.currentLoadLocked(), Loaded: e.loaded, Fence: e.fence, Stale: e.staleOrders, Served: e.served, Refused: e.refused,
+	return State{LoadReport: e.currentLoadLocked(), Loaded: e.loaded, Fence: e.fence, StaleOrders: e.staleOrders, Served: e.served, Refused: e.refused,
 		Ran: ran, Cache: e.cache.state(), Faults: e.faults}
 }
 
--- a/upstream/probes.go
+++ b/upstream/probes.go
@@ -16,26 +16,26 @@
 // probeInterval is the pause between probes of an endpoint that drops them.
 const probeInterval = time.Millisecond
 
-// Probes checks whether endpoints whose connections broke have exited. Concurrent checks
+// Prober checks whether endpoints whose connections broke have exited. Concurrent checks
 // of an endpoint share one probe. The zero value is ready to use.
-type Probes struct {
+type Prober struct {
 	// Window is how long an endpoint that accepts connections is probed for its exit;
 	// 0: endsWithin.
 	Window time.Duration
 	probes singleflight.Group
 }
 
-// Ended reports whether nothing listens at an address any more. An endpoint that only lost
+// Exited reports whether nothing listens at an address any more. An endpoint that only lost
 // a connection accepts another one and keeps it open. One that is partitioned does not
 // answer, may be healthy, and is not reported.
-func (p *Probes) Ended(address string) bool {
+func (p *Prober) Exited(address string) bool {
 	ended, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
 	return ended.(bool)
 }
 
 // probe connects until the endpoint refuses a connection or keeps one open. It tries more
 // than once because an exiting process closes its connections before its listener.
-func (p *Probes) probe(address string) bool {
+func (p *Prober) probe(address string) bool {
 	window := p.Window
 	if window == 0 {
 		window = exitWindow
--- a/upstream/probes_test.go
+++ b/upstream/probes_test.go
@@ -21,8 +21,8 @@
 		_ = ln.Close()
 		_ = conn.Close()
 	}()
-	probes := Probes{Window: time.Minute}
-	is.True(probes.Ended(ln.Addr().String()))
+	probes := Prober{Window: time.Minute}
+	is.True(probes.Exited(ln.Addr().String()))
 }
 
 // Guards against a lost connection being taken for a crash.
@@ -46,8 +46,8 @@
 					_ = conn.Close()
 				}
 			}()
-			probes := Probes{Window: 10 * time.Millisecond}
-			is.True(!probes.Ended(ln.Addr().String()))
+			probes := Prober{Window: 10 * time.Millisecond}
+			is.True(!probes.Exited(ln.Addr().String()))
 		})
 	}
 }
