--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -202,7 +202,7 @@
 }
 
 // passed reports whether a step's answer reaches the minimum score, and records
-// the result in the planner.
+// the result in the planner if the answer was rated.
 func (g *Gateway) passed(q *request, i int, st config.Step, h *heldAnswer) bool {
 	if h == nil || !h.rated() {
 		return false
--- a/gateway/cost_bench_test.go
+++ b/gateway/cost_bench_test.go
@@ -60,8 +60,8 @@
 var workload = []struct{ prompt, tokens int }{{600, 24}, {600, 24}, {2500, 294}, {600, 24}, {48000, 384}, {600, 24}, {2500, 294}, {600, 24}, {48000, 384}, {600, 24}}
 
 // BenchmarkCostAtTarget runs the workload through a cascade and its baselines. It
-// reports cost per request (in prices of a token), the share of answers that reach
-// the target score, and model calls per request.
+// reports cost per request (billed tokens times the model's price), the share of
+// answers that reach the target score, and model calls per request.
 func BenchmarkCostAtTarget(b *testing.B) {
 	for _, s := range []struct {
 		name, model string
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -36,7 +36,7 @@
 
 // recordCrash reports a failed attempt to the quarantine if its back end crashed.
 func (g *Gateway) recordCrash(q *request, b route.BackendInfo, a attempt) {
-	if g.Quarantine == nil || a.notRun || a.timedOut || !g.probes.Exited(b.Address) {
+	if g.Quarantine == nil || a.notRun || a.timedOut || !g.prober.Exited(b.Address) {
 		return
 	}
 	epoch := g.Clock.Now().Truncate(restartWindow).UnixMilli()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,7 +60,7 @@
 
 // Timeouts bound a call to a back end. FirstToken detects half-open connections,
 // on which a caller would otherwise wait forever. Idle bounds the gap between
-// streamed tokens; Whole bounds a call whose answer is not streamed.
+// streamed tokens; Unary bounds a call whose answer is not streamed.
 type Timeouts struct {
 	FirstToken time.Duration
 	Idle       time.Duration
@@ -99,7 +99,7 @@
 type Gateway struct {
 	Deps
 	connPools *connPools
-	probes    upstream.Prober
+	prober    upstream.Prober
 	budget    *retryBudget
 	ratings   chan rating
 
--- a/gateway/matrix_test.go
+++ b/gateway/matrix_test.go
@@ -49,7 +49,7 @@
 	t.f()
 }
 
-// fault is the behaviour of a back end towards a request.
+// fault is how a back end handles a request.
 type fault struct {
 	name     string
 	runs     bool // the request is started
--- a/gateway/output.go
+++ b/gateway/output.go
@@ -150,7 +150,8 @@
 	}
 }
 
-// finish sends the end of a complete answer.
+// finish ends a complete answer: with the end marker if the caller streams,
+// otherwise with the whole body.
 func (o *output) finish() {
 	if !o.q.stream {
 		o.g.closeConnIfStopping(o.q.c)
@@ -162,7 +163,7 @@
 }
 
 // abort reports in band that a streamed answer broke off: the status line has
-// already been sent, and without it the caller would get no notice.
+// already been sent, and without this event the caller would get no notice.
 func (o *output) abort(code string) {
 	o.g.Scope.Tagged(map[string]string{"code": code}).Counter("stream_errors").Inc(1)
 	b, _ := json.Marshal(openai.ErrorBody{Error: openai.ErrorDetail{Type: openai.OutcomeUnknown, Code: code,
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -215,8 +215,8 @@
 }
 
 // call sends the request. notRun is set only if the back end provably did not
-// start it: its headers were not completely written, or the back end refused
-// before doing any work.
+// start it: the request's headers were not completely written, or the back end
+// refused before doing any work.
 func (g *Gateway) call(ctx context.Context, q *request, b route.BackendInfo, stream bool) (*http.Response, attempt) {
 	out, err := newBackendCall(q, b, stream)
 	if err != nil {
@@ -233,10 +233,10 @@
 	if key := q.c.GetHeader(openai.HeaderIdempotencyKey); key != "" {
 		hreq.Header.Set(openai.HeaderIdempotencyKey, key)
 	}
-	// net/http retries a request by itself when a reused connection breaks
-	// before the answer and the body can be read again. The back end may
-	// already have run it, so a non-idempotent call could run twice. Without
-	// GetBody net/http does not retry.
+	// If a reused connection breaks before the answer, net/http retries by
+	// itself a request whose body it can read again. The back end may already
+	// have run it, so a non-idempotent call could run twice. Without GetBody
+	// net/http does not retry.
 	hreq.GetBody = nil
 	resp, err := g.connPools.client(b.Address, !retryable(b)).Do(hreq)
 	if err != nil {
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -91,8 +91,8 @@
 			t.Fatal("the connection closed without an answer")
 		}
 		defer resp.Body.Close()
-		guard := time.AfterFunc(testTimeout, func() { resp.Body.Close() })
-		defer guard.Stop()
+		timer := time.AfterFunc(testTimeout, func() { resp.Body.Close() })
+		defer timer.Stop()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatal("the answer was cut off: ", err)
