--- a/route/decide.go
+++ b/route/decide.go
@@ -58,7 +58,7 @@
 )
 
 // Reserve returns how many slots of a back end with the given capacity are kept
-// free of customers whose priority is levelsBelow under the highest. A full pool
+// free of customers whose priority is levelsBelow levels under the highest. A full pool
 // refuses whoever comes next; slots kept free of low priorities admit higher ones.
 func Reserve(capacity, levelsBelow int) int {
 	return int(min(reserveStep*float64(levelsBelow), reserveMax) * float64(capacity))
@@ -183,7 +183,7 @@
 }
 
 // maxCandidates is how many back ends a decision hands to dispatch: enough for
-// the retry budget and a few refusals that provably did not run. The least
+// the retry budget and a few back ends that provably reject the request. The least
 // loaded come first, so when they are all full the rest likely are too, and the
 // caller is told to retry later instead of being kept waiting.
 const maxCandidates = 4
