--- a/endpoints/poll.go
+++ b/endpoints/poll.go
@@ -56,7 +56,7 @@
 	seeds []string // base URLs of the live entries in the last instance list
 }
 
-// NewPoller returns a poller into table for the back ends of domain.
+// NewPoller returns a poller that updates table for the back ends of domain.
 // incarnation distinguishes the reports of this process from those of an
 // earlier one.
 func NewPoller(table *Table, currentTable func() *route.Table, assignments Assignments, domain string, incarnation int64, listURL string, log *slog.Logger) *Poller {
