--- a/edge/module.go
+++ b/edge/module.go
@@ -73,7 +73,7 @@
 			place.NewBoard,
 			place.NewRates,
 			newLimits,
-			newLoads,
+			newLoadExchange,
 			newBudget,
 			newQuarantine,
 			newMesh,
@@ -81,7 +81,7 @@
 			newIngress,
 		),
 		fx.StopTimeout(o.Settings.Bounds.Grace()+stopTimeoutMargin),
-		fx.Invoke(runFollower, runMesh, runLoads, runRollouts, runQuarantine, runRegistration, runReload, serve),
+		fx.Invoke(runFollower, runMesh, runLoadExchange, runRollouts, runQuarantine, runRegistration, runReload, serve),
 		fx.NopLogger,
 	)
 }
@@ -102,7 +102,7 @@
 // updated.
 const metricsInterval = 2 * time.Second
 
-func lapsedFor(s *Settings) time.Duration {
+func lapsedGrace(s *Settings) time.Duration {
 	return max(0, time.Duration(s.Bounds.LeavingMS)*time.Millisecond-lapsedMargin)
 }
 
@@ -111,7 +111,7 @@
 }
 
 func newFollower(s *Settings, b boot, c kv.Client, dec fleet.Decoder, clock clockwork.Clock, log *slog.Logger) *fleet.Follower {
-	return fleet.NewFollower(s.entry(b), c, dec, lapsedFor(s), clock, log)
+	return fleet.NewFollower(s.entry(b), c, dec, lapsedGrace(s), clock, log)
 }
 
 func newRollouts(s *Settings, b boot, c kv.Client, dec fleet.Decoder, f *fleet.Follower, clock clockwork.Clock, log *slog.Logger) *rollout.Controller {
@@ -138,14 +138,14 @@
 	return ratelimit.New(ratelimit.Deps{Instance: s.Instance, Domain: s.Domain, Entries: func() []fleet.Entry { return f.View().Entries }, Clock: clock, Log: log})
 }
 
-func newLoads(s *Settings, f *fleet.Follower, board *place.Board, budget *retry.Budget, limits *ratelimit.Limits, clock clockwork.Clock, log *slog.Logger) *mesh.LoadExchange {
+func newLoadExchange(s *Settings, f *fleet.Follower, board *place.Board, budget *retry.Budget, limits *ratelimit.Limits, clock clockwork.Clock, log *slog.Logger) *mesh.LoadExchange {
 	return mesh.NewLoadExchange(mesh.LoadExchangeDeps{Instance: s.Instance, Domain: s.Domain, Address: s.Listen.Loads, Fleet: f, Board: board, Budget: budget, Limits: limits,
 		Clock: clock, Log: log})
 }
 
-func newIngress(s *Settings, f *fleet.Follower, wire call.HeaderCodec, board *place.Board, rates *place.Rates, budget *retry.Budget, r *rollout.Controller, q *quarantine.Table, limits *ratelimit.Limits,
+func newIngress(s *Settings, f *fleet.Follower, codec call.HeaderCodec, board *place.Board, rates *place.Rates, budget *retry.Budget, r *rollout.Controller, q *quarantine.Table, limits *ratelimit.Limits,
 	gate *drain.Gate, clock clockwork.Clock, log *slog.Logger, m *telemetry.Metrics) *ingress.Server {
-	return ingress.New(ingress.Deps{Instance: s.Instance, Domain: s.Domain, Fleet: f, HeaderCodec: wire, Board: board, Rates: rates, Budget: budget, Rollouts: r, Quarantine: q, Limits: limits,
-		EscalationPolicy: cascade.EscalationPolicy{MinConfidence: cascade.DefaultMinConfidence}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyMemoryDivisor, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedGrace: lapsedFor(s),
+	return ingress.New(ingress.Deps{Instance: s.Instance, Domain: s.Domain, Fleet: f, HeaderCodec: codec, Board: board, Rates: rates, Budget: budget, Rollouts: r, Quarantine: q, Limits: limits,
+		EscalationPolicy: cascade.EscalationPolicy{MinConfidence: cascade.DefaultMinConfidence}, Gate: gate, BodyMemory: int64(s.MemoryMB) << 20 / bodyMemoryDivisor, MaxInFlight: int64(s.MemoryMB) * requestsPerMB, LapsedGrace: lapsedGrace(s),
 		Clock: clock, Log: log, Scope: m.Scope.SubScope("ingress")})
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -25,7 +25,7 @@
 
 func runMesh(lc fx.Lifecycle, m *mesh.Mesh) { background.Run(lc, m.Run, nil) }
 
-func runLoads(lc fx.Lifecycle, l *mesh.LoadExchange) { background.Run(lc, l.Run, nil) }
+func runLoadExchange(lc fx.Lifecycle, l *mesh.LoadExchange) { background.Run(lc, l.Run, nil) }
 
 func runRollouts(lc fx.Lifecycle, r *rollout.Controller) {
 	background.Run(lc, background.Every(rollout.Interval, r.Tick), nil)
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -25,7 +25,7 @@
 	is.Equal(s.Instance, "front-1")
 	is.Equal(s.Bounds.Grace(), 8*time.Second)
 	is.Equal(s.Seeds, []string{"127.0.0.1:5"})
-	is.Equal(lapsedFor(s), 1400*time.Millisecond)
+	is.Equal(lapsedGrace(s), 1400*time.Millisecond)
 }
 
 // All errors are reported together, each with the path of its setting.
