--- a/fleet/follower_test.go
+++ b/fleet/follower_test.go
@@ -159,7 +159,7 @@
 	x.config(1)
 	x.run(t)
 	x.waitFor(t, func(v *fleet.View) bool { return version(v) == 1 })
-	x.flakyStore.fail(errors.New("turned away"))
+	x.flakyStore.fail(errors.New("request rejected"))
 	x.config(2)
 	x.waitFor(t, func(*fleet.View) bool { return x.f.StoreUnreachable() })
 	rev, events, err := x.store.WatchOnce(context.Background(), "", true, x.f.View().Revision, time.Second)
--- a/fleet/items_test.go
+++ b/fleet/items_test.go
@@ -157,12 +157,12 @@
 	is := is.New(t)
 	behind := NewItems()
 	behind.Apply(Changes{Revision: 5, Whole: true, Events: []kv.Event{stored("servers/e1", 4), stored("servers/e2", 5)}})
-	for _, knew := range []Changes{
+	for _, earlier := range []Changes{
 		{},
 		{Revision: 3, Whole: true, Events: []kv.Event{stored("servers/e2", 2)}},
 	} {
 		started := NewItems()
-		started.Apply(knew)
+		started.Apply(earlier)
 		// e1 announced at revision 6 that it leaves, and was removed at 7.
 		started.Apply(Changes{Revision: 8, Whole: true, Events: []kv.Event{stored("servers/e2", 5)}})
 		is.True(started.Since(5).Whole)
--- a/fleet/watchers_test.go
+++ b/fleet/watchers_test.go
@@ -16,20 +16,20 @@
 			all = append(all, Entry{Instance: fmt.Sprint("i", i), Domain: fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "domain"))})
 		}
 		for _, e := range all {
-			before, beforeHere, here := 0, 0, 0
+			before, beforeInDomain, domainSize := 0, 0, 0
 			for _, o := range all {
-				near := o.Domain == e.Domain
-				if near {
-					here++
+				sameDomain := o.Domain == e.Domain
+				if sameDomain {
+					domainSize++
 				}
 				if watcherRank(o) < watcherRank(e) {
 					before++
-					if near {
-						beforeHere++
+					if sameDomain {
+						beforeInDomain++
 					}
 				}
 			}
-			want := before < minWatchers || beforeHere <= here/entriesPerWatcher
+			want := before < minWatchers || beforeInDomain <= domainSize/entriesPerWatcher
 			if IsWatcher(all, e) != want {
 				t.Fatalf("%s of %s: %v", e.Instance, e.Domain, !want)
 			}
