--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -57,11 +57,11 @@
 		rand.Shuffle(len(limits), func(i, j int) { limits[i], limits[j] = limits[j], limits[i] })
 		limits = limits[:maxLimits]
 	}
-	for _, t := range limits {
-		msg.Limited = append(msg.Limited, t.Endpoint)
-		msg.Limit = append(msg.Limit, ratelimit.Thousandths(t.Limit))
-		msg.LimitAgeMs = append(msg.LimitAgeMs, uint32(t.Age.Milliseconds()))
-		msg.Sent = append(msg.Sent, t.Sent)
+	for _, r := range limits {
+		msg.Limited = append(msg.Limited, r.Endpoint)
+		msg.Limit = append(msg.Limit, ratelimit.Thousandths(r.Limit))
+		msg.LimitAgeMs = append(msg.LimitAgeMs, uint32(r.Age.Milliseconds()))
+		msg.Sent = append(msg.Sent, r.Sent)
 	}
 }
 
--- a/mesh/loads.go
+++ b/mesh/loads.go
@@ -47,7 +47,7 @@
 	maxLimits    = 25
 )
 
-// LoadExchangeDeps are the dependencies of Loads.
+// LoadExchangeDeps are the dependencies of a LoadExchange.
 type LoadExchangeDeps struct {
 	Instance, Domain string
 	Address          string // IP:port, for datagrams
@@ -70,14 +70,14 @@
 	sendLimiter sendLimiter
 }
 
-// NewLoadExchange returns a Loads; Run starts it.
+// NewLoadExchange returns a LoadExchange; Run starts it.
 func NewLoadExchange(d LoadExchangeDeps) *LoadExchange { return &LoadExchange{LoadExchangeDeps: d} }
 
 // Run publishes and receives until ctx ends.
 func (l *LoadExchange) Run(ctx context.Context) {
 	conn, err := net.ListenPacket("udp", l.Address)
 	if err != nil {
-		l.Log.Error("mesh: cannot open the datagram socket; loads are not exchanged.", "address", l.Address, "error", err)
+		l.Log.Error("mesh: cannot open the datagram socket; loads are not exchanged, and endpoints are chosen by the data of this entry only.", "address", l.Address, "error", err)
 		return
 	}
 	l.conn = conn
@@ -125,14 +125,14 @@
 }
 
 // wait returns how long to wait before sending more.
-func (p *sendLimiter) wait(now time.Time) time.Duration {
-	p.tokens = min(datagramBurst, p.tokens+float64(now.Sub(p.updated))/float64(datagramInterval))
-	p.updated = now
-	return time.Duration(max(0, -p.tokens) * float64(datagramInterval))
+func (s *sendLimiter) wait(now time.Time) time.Duration {
+	s.tokens = min(datagramBurst, s.tokens+float64(now.Sub(s.updated))/float64(datagramInterval))
+	s.updated = now
+	return time.Duration(max(0, -s.tokens) * float64(datagramInterval))
 }
 
 // sent takes the tokens for n datagrams that were sent.
-func (p *sendLimiter) sent(n int) { p.tokens -= float64(n) }
+func (s *sendLimiter) sent(n int) { s.tokens -= float64(n) }
 
 // recipients returns the addresses to publish to. In a large fleet these are the entries
 // that use the same engines: those of the own failure domain and of the domains where this
@@ -191,14 +191,14 @@
 		msg.Endpoint = append(msg.Endpoint, place.ShortID(id))
 		msg.WorkMs = append(msg.WorkMs, uint32(work.Milliseconds()))
 	}
-	for _, t := range l.Board.LoadReports() {
+	for _, r := range l.Board.LoadReports() {
 		if len(msg.Loaded) == maxLoads {
 			break
 		}
-		msg.Loaded = append(msg.Loaded, t.Endpoint)
-		msg.Running = append(msg.Running, uint32(t.Running))
-		msg.Waiting = append(msg.Waiting, uint32(t.Waiting))
-		msg.LoadAgeMs = append(msg.LoadAgeMs, uint32(t.Age.Milliseconds()))
+		msg.Loaded = append(msg.Loaded, r.Endpoint)
+		msg.Running = append(msg.Running, uint32(r.Running))
+		msg.Waiting = append(msg.Waiting, uint32(r.Waiting))
+		msg.LoadAgeMs = append(msg.LoadAgeMs, uint32(r.Age.Milliseconds()))
 	}
 	l.addLimits(msg)
 	empty = len(msg.Endpoint)+len(msg.Loaded)+len(msg.Limited) == 0
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -223,11 +223,11 @@
 
 // ExchangeWith does one exchange with the entry at an address.
 func (m *Mesh) ExchangeWith(ctx context.Context, address string) {
-	limit := callTimeout
+	timeout := callTimeout
 	if m.Fleet.View().Revision == 0 {
-		limit = snapshotTimeout
+		timeout = snapshotTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	client := meshpb.NewMeshProtobufClient("http://"+address, m.http)
 	started := m.Clock.Now()
@@ -297,12 +297,12 @@
 	if age, ok := m.Fleet.Age(); ok {
 		out.ConfirmedMs = age.Milliseconds()
 	}
-	for _, t := range orders {
-		out.Orders = append(out.Orders, &meshpb.Order{Service: t.Service, Ordered: int64(t.Ordered), AgeMs: t.Age.Milliseconds(), Halted: t.Halted, MovedMs: movedMS(t)})
+	for _, o := range orders {
+		out.Orders = append(out.Orders, &meshpb.Order{Service: o.Service, Ordered: int64(o.Ordered), AgeMs: o.Age.Milliseconds(), Halted: o.Halted, MovedMs: promotedAgoMS(o)})
 	}
-	for _, u := range sessions {
-		out.Session = append(out.Session, u.Hash)
-		out.SessionAgoMs = append(out.SessionAgoMs, uint32(u.Ago.Milliseconds()))
+	for _, s := range sessions {
+		out.Session = append(out.Session, s.Hash)
+		out.SessionAgoMs = append(out.SessionAgoMs, uint32(s.Ago.Milliseconds()))
 	}
 	if len(evidence) > maxEvidenceRows {
 		rand.Shuffle(len(evidence), func(i, j int) { evidence[i], evidence[j] = evidence[j], evidence[i] })
@@ -317,11 +317,13 @@
 	return out
 }
 
-func movedMS(t rollout.OrderState) int64 {
-	if !t.Promoted {
+// promotedAgoMS returns the time since the entry raised the share above the canary share, or -1
+// if it has not.
+func promotedAgoMS(o rollout.OrderState) int64 {
+	if !o.Promoted {
 		return -1
 	}
-	return t.PromotedAgo.Milliseconds()
+	return o.PromotedAgo.Milliseconds()
 }
 
 // Exchange implements meshpb.Mesh: it merges the caller's state and answers with the
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -99,7 +99,7 @@
 	is.Equal(a.Rollouts.State()[0].Samples, int64(20)) // evidence that comes back is not counted twice
 }
 
-// Guards against a request that crashes endpoints passing at entries that were not told of it in time.
+// Guards against a request that crashes endpoints being sent by entries that were not notified in time.
 func TestCrashingRequestIsExchangedAtOnce(t *testing.T) {
 	is := is.New(t)
 	a := newEntry(t, "a")
@@ -214,20 +214,20 @@
 // bounds these datagrams.
 func TestSendLimiterBoundsDatagrams(t *testing.T) {
 	is := is.New(t)
-	const others, each, long = 70, 10 * time.Millisecond, 10 * time.Second
+	const recipients, step, duration = 70, 10 * time.Millisecond, 10 * time.Second
 	now := time.Unix(0, 0)
-	var p sendLimiter
+	var limiter sendLimiter
 	sent := 0
-	for end := now.Add(long); now.Before(end); now = now.Add(each) {
-		if p.wait(now) > 0 {
+	for end := now.Add(duration); now.Before(end); now = now.Add(step) {
+		if limiter.wait(now) > 0 {
 			continue
 		}
-		p.sent(others)
-		sent += others
+		limiter.sent(recipients)
+		sent += recipients
 	}
-	is.True(sent <= datagramBurst+others+int(long/datagramInterval))
-	p.wait(now.Add(time.Minute))
-	is.Equal(p.tokens, float64(datagramBurst)) // a pause saves up one burst at most
+	is.True(sent <= datagramBurst+recipients+int(duration/datagramInterval))
+	limiter.wait(now.Add(time.Minute))
+	is.Equal(limiter.tokens, float64(datagramBurst)) // a pause saves up one burst at most
 }
 
 // Loads that endpoints reported to one entry reach another, with their age.
@@ -275,7 +275,7 @@
 // which have the same data, were not preferred.
 func TestExchangesStayMostlyWithinDomain(t *testing.T) {
 	is := is.New(t)
-	const entries, domains, draws = 195, 6, 3000
+	const entries, domains, picks = 195, 6, 3000
 	var all []fleet.Entry
 	var events []kv.Event
 	for i := range entries {
@@ -299,19 +299,19 @@
 	m.Fleet = fleet.NewFollower(relying, memkv.New(clock), platform.Values{}, time.Second, clock, discardLog)
 	m.Fleet.SetSinceBoot(func() time.Duration { return clock.Since(time.Time{}) })
 	mergeChanges(m, fleet.Changes{Revision: entries, Whole: true, Events: events})
-	crossed, met := 0, map[string]bool{}
-	for range draws {
+	crossed, reached := 0, map[string]bool{}
+	for range picks {
 		address, ok := m.pickPeer()
 		is.True(ok)
 		is.True(watching[address])
-		met[domainOf[address]] = true
+		reached[domainOf[address]] = true
 		if domainOf[address] != relying.Domain {
 			crossed++
 		}
 	}
 	// On average crossDomainExchanges of 32 exchanges of an entry may cross; the bound is twice that.
-	is.True(crossed < draws*2*crossDomainExchanges/(entries/domains))
-	is.Equal(len(met), domains) // evidence of one domain still reaches the others
+	is.True(crossed < picks*2*crossDomainExchanges/(entries/domains))
+	is.Equal(len(reached), domains) // evidence of one domain still reaches the others
 }
 
 // Guards against evidence traffic growing with the fleet: an entry that relies on watchers
