--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -34,7 +34,7 @@
 // Updates returns a channel that signals when other entries should be told immediately.
 func (t *Table) Updates() <-chan struct{} { return t.updates }
 
-// notifyLocked signals News if a suspect has reached urgentWeight. Many requests wait or run at
+// notifyLocked signals Updates if a suspect has reached urgentWeight. Many requests wait or run at
 // an endpoint that crashes; these are left to the regular exchanges.
 func (t *Table) notifyLocked(s *suspect) {
 	if s.weight(nil) < urgentWeight {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -21,8 +21,8 @@
 	Log   *slog.Logger
 }
 
-// Table holds what an entry knows about requests at which endpoints crashed. It is safe for
-// concurrent use; its lock is never held across a call to the store.
+// Table holds what an entry knows about requests that were in flight at endpoints when these
+// crashed. It is safe for concurrent use; its lock is never held across a call to the store.
 type Table struct {
 	Deps
 
@@ -49,8 +49,8 @@
 type Verdict struct {
 	// Suspect: an endpoint crashed while the request was in flight there.
 	Suspect bool
-	// Quarantined: the request crashes endpoints and must not be sent to any, for the
-	// time in For.
+	// Quarantined: the request crashes endpoints and must not be sent to any for the
+	// time in RetryAfter.
 	Quarantined bool
 	RetryAfter  time.Duration
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -196,12 +196,12 @@
 	failures, grants int
 }
 
-func (r *flakyStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	r.grants++
-	if r.grants <= r.failures {
+func (s *flakyStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+	s.grants++
+	if s.grants <= s.failures {
 		return 0, kv.ErrUnavailable
 	}
-	return r.Client.Grant(ctx, ttl)
+	return s.Client.Grant(ctx, ttl)
 }
 
 // Guards against memory and exchanges that grow with the number of requests in flight at a crash.
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// markExplained adds the endpoints that crashed at the suspect to explained.
+// markExplained adds the endpoints of the suspect's crashes to explained.
 func (s *suspect) markExplained(explained map[fleet.EndpointID]bool) {
 	for ep := range s.crashes {
 		explained[ep] = true
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -7,7 +7,7 @@
 	"github.com/lovageweir/lovageweir/rpc/sharedpb"
 )
 
-// Message returns the result of Tell as a message to other entries.
+// Message returns the result of Reports as a message to other entries.
 func (t *Table) Message() []*sharedpb.Suspect {
 	var out []*sharedpb.Suspect
 	for _, r := range t.Reports() {
