--- a/place/board.go
+++ b/place/board.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// busyGain is the weight of one answer in the utilization of a service: about the last ten count,
-// which one entry receives in a second or two.
-const busyGain = 0.1
+// answerGain is the weight of one answer in the utilization and the mean wait of a service: about the
+// last ten count, which one entry receives in a second or two.
+const answerGain = 0.1
 
 // ObserveLoad records the load that an endpoint of a service reported with an answer.
 func (b *Board) ObserveLoad(name string, l call.Load) {
@@ -173,7 +173,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.serviceLocked(name)
-	s.utilization += busyGain * (float64(l.Running+l.Waiting)/float64(l.Slots) - s.utilization)
+	s.utilization += answerGain * (float64(l.Running+l.Waiting)/float64(l.Slots) - s.utilization)
 }
 
 // Utilization returns the utilization of a service: running and waiting requests divided by slots, averaged
--- a/place/choose.go
+++ b/place/choose.go
@@ -47,8 +47,8 @@
 	Domain string // failure domain of this entry
 	// Affinity is equal for requests that share a prompt; 0: none.
 	Affinity uint64
-	// SharedTokens is the length of the shared prompt, Reading the time an engine takes to
-	// read it.
+	// SharedTokens is the length of the shared prompt, PrefillTime the time an engine takes
+	// to read it.
 	SharedTokens int
 	PrefillTime  time.Duration
 	// Tried are endpoints that the request was already sent to.
@@ -66,33 +66,33 @@
 
 // closed evaluates Closed for all candidates; nil: none is closed. It is called without the board's lock,
 // as the callback takes its own.
-func (w Request) closed(candidates []fleet.Endpoint) []bool {
-	if w.Closed == nil {
+func (req Request) closed(candidates []fleet.Endpoint) []bool {
+	if req.Closed == nil {
 		return nil
 	}
 	out := make([]bool, len(candidates))
 	for i, ep := range candidates {
-		out[i] = w.Closed(ep)
+		out[i] = req.Closed(ep)
 	}
 	return out
 }
 
 // Rank orders endpoints for a request, best first. Ejected ones come last; endpoints already tried and
 // closed ones are left out.
-func (b *Board) Rank(candidates []fleet.Endpoint, w Request) []Ranked {
+func (b *Board) Rank(candidates []fleet.Endpoint, req Request) []Ranked {
 	now := b.clock.Now()
-	preferred := preferredEndpoint(candidates, w)
-	closed := w.closed(candidates)
+	preferred := preferredEndpoint(candidates, req)
+	closed := req.closed(candidates)
 	b.mu.Lock()
 	out := make([]Ranked, 0, len(candidates))
 	for i, ep := range candidates {
-		if w.Tried[ep.ID] || closed != nil && closed[i] {
+		if req.Tried[ep.ID] || closed != nil && closed[i] {
 			continue
 		}
 		load := b.sampledLoadLocked(ep, now)
 		s := b.standingLocked(ep.ID, now)
 		s.Ejected = s.Ejected || b.domainUnreachableLocked(ep.Domain, now)
-		out = append(out, Ranked{Endpoint: ep, Standing: s, Score: score(ep, s, load, w, ep.ID == preferred)})
+		out = append(out, Ranked{Endpoint: ep, Standing: s, Score: score(ep, s, load, req, ep.ID == preferred)})
 	}
 	// Ties are broken at random: in an order that all entries share, all would choose the
 	// same endpoint.
@@ -109,17 +109,17 @@
 
 // score returns the expected wait at an endpoint with the given load, plus penalties and less the
 // value of a cached prompt.
-func score(ep fleet.Endpoint, s Standing, load float64, w Request, preferred bool) time.Duration {
-	taken := load / float64(slotsOf(ep))
-	v := s.Wait + scaled(busyPenalty, taken*taken*taken) + scaled(failurePenalty, s.FailRate)
-	if ep.Domain != w.Domain {
+func score(ep fleet.Endpoint, s Standing, load float64, req Request, preferred bool) time.Duration {
+	utilization := load / float64(slotsOf(ep))
+	v := s.Wait + scaled(busyPenalty, utilization*utilization*utilization) + scaled(failurePenalty, s.FailRate)
+	if ep.Domain != req.Domain {
 		v += domainPenalty
 	}
 	if s.Full {
 		v += fullPenalty
 	}
 	if preferred {
-		v -= scaled(w.PrefillTime+time.Duration(w.SharedTokens)*cacheMissPerToken, expectedHitRate)
+		v -= scaled(req.PrefillTime+time.Duration(req.SharedTokens)*cacheMissPerToken, expectedHitRate)
 	}
 	return v
 }
@@ -135,18 +135,18 @@
 
 // preferredEndpoint returns the preferred endpoint of a prompt by rendezvous hashing: all entries agree,
 // and when endpoints change, only the prompts of those endpoints move.
-func preferredEndpoint(candidates []fleet.Endpoint, w Request) fleet.EndpointID {
-	if w.Affinity == 0 {
+func preferredEndpoint(candidates []fleet.Endpoint, req Request) fleet.EndpointID {
+	if req.Affinity == 0 {
 		return ""
 	}
-	near := w.SharedTokens < crossDomainTokens && anyInDomain(candidates, w.Domain)
+	near := req.SharedTokens < crossDomainTokens && anyInDomain(candidates, req.Domain)
 	var best fleet.EndpointID
 	var highest uint64
 	for _, ep := range candidates {
-		if near && ep.Domain != w.Domain {
+		if near && ep.Domain != req.Domain {
 			continue
 		}
-		if h := mix(w.Affinity ^ xxhash.Sum64String(string(ep.ID))); h >= highest {
+		if h := mix(req.Affinity ^ xxhash.Sum64String(string(ep.ID))); h >= highest {
 			best, highest = ep.ID, h
 		}
 	}
--- a/place/fleet_sim_test.go
+++ b/place/fleet_sim_test.go
@@ -26,12 +26,12 @@
 	crashes                   time.Duration // when a quarter of the engines crash; 0: never
 }
 
-// Each request is answered by the small model, and a fraction simDoubted of them by the large one too.
+// Each request is answered by the small model, and a fraction simEscalated of them by the large one too.
 // The read and stream times are the means for an engine with no other requests.
 const (
 	simSlots          = 12
 	simQueue          = 25
-	simDoubted        = 0.4
+	simEscalated      = 0.4
 	smallRead         = 20 * time.Millisecond
 	smallStream       = 350 * time.Millisecond
 	largeRead         = 140 * time.Millisecond
@@ -232,7 +232,7 @@
 	}
 	j.ticket.HeadReceived(&call.Load{Running: e.running, Waiting: len(e.queue), Slots: simSlots})
 	j.ticket.FirstEvent()
-	if !j.large && p.r.Float64() < simDoubted {
+	if !j.large && p.r.Float64() < simEscalated {
 		p.end(j)
 		p.send(&simRequest{entry: j.entry, large: true, read: p.vary(largeRead), stream: p.vary(largeStream)})
 		return
@@ -292,15 +292,15 @@
 // measure samples the load of the engines.
 func (p *simRun) measure() {
 	p.after(100*time.Millisecond, p.measure)
-	var sum, squares, n, young, youngSum float64
+	var sum, squares, n, joinedCount, joinedSum float64
 	for i, e := range p.engines {
 		if e.dead {
 			continue
 		}
 		load := float64(e.running + len(e.queue))
 		if i >= p.fleetSim.engines {
-			young++
-			youngSum += load
+			joinedCount++
+			joinedSum += load
 			continue
 		}
 		n++
@@ -309,8 +309,8 @@
 	}
 	m := sum / n
 	p.result.spread = append(p.result.spread, math.Sqrt(max(0, squares/n-m*m))/m)
-	if young > 0 {
-		p.result.joined = append(p.result.joined, youngSum/young/m)
+	if joinedCount > 0 {
+		p.result.joined = append(p.result.joined, joinedSum/joinedCount/m)
 	}
 }
 
@@ -351,7 +351,7 @@
 
 // Guards against the remaining engines rejecting requests after a quarter of the engines crashed. The
 // load of the lost ones moves to the others at once, and all entries learn of each engine with free
-// slots at the same time.
+// slots at the same time. The causes are those of TestLargeFleetSpreadsLoad.
 func TestLargeFleetToleratesLostEngines(t *testing.T) {
 	is := is.New(t)
 	c := largeFleet
--- a/place/loads.go
+++ b/place/loads.go
@@ -82,7 +82,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.serviceLocked(name)
-	s.delay += busyGain * (max(0, delay.Seconds()) - s.delay)
+	s.delay += answerGain * (max(0, delay.Seconds()) - s.delay)
 }
 
 // MeanWait returns the recent mean wait of the requests of the service for other requests. Known
@@ -118,14 +118,14 @@
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, t := range loads {
-		r := b.byID[b.byShortID[t.Endpoint]]
-		at := now.Add(-t.Age)
+	for _, l := range loads {
+		r := b.byID[b.byShortID[l.Endpoint]]
+		at := now.Add(-l.Age)
 		if r == nil || !at.After(r.reportedAt) {
 			continue
 		}
-		b.serviceLocked(r.service).observeLoad(float64(t.Running + t.Waiting))
-		r.report = call.Load{Running: t.Running, Waiting: t.Waiting}
+		b.serviceLocked(r.service).observeLoad(float64(l.Running + l.Waiting))
+		r.report = call.Load{Running: l.Running, Waiting: l.Waiting}
 		r.reportedAt, r.sinceReport, r.ownReport = at, 0, false
 	}
 }
--- a/place/peer_work.go
+++ b/place/peer_work.go
@@ -86,13 +86,13 @@
 	}
 	short := ShortID(id)
 	var sum, oldest time.Duration
-	for entry, t := range b.peerWork {
-		age := now.Sub(t.at)
+	for entry, p := range b.peerWork {
+		age := now.Sub(p.at)
 		if age > peerWorkTTL {
 			delete(b.peerWork, entry)
 			continue
 		}
-		if w := t.work[short]; w > 0 {
+		if w := p.work[short]; w > 0 {
 			sum += w
 			oldest = max(oldest, age)
 		}
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -137,11 +137,11 @@
 	eps := endpoints(12, "d1", "d2", "d3")
 	moved := 0
 	for i := range 200 {
-		w := Request{Domain: "d1", Affinity: Hash(fmt.Sprint(i)), SharedTokens: 5000}
-		p := preferredEndpoint(eps, w)
-		w.Domain = "d2"
-		is.Equal(preferredEndpoint(eps, w), p) // for a long prompt it does not depend on the entry's domain
-		if preferredEndpoint(eps[1:], w) != p {
+		req := Request{Domain: "d1", Affinity: Hash(fmt.Sprint(i)), SharedTokens: 5000}
+		p := preferredEndpoint(eps, req)
+		req.Domain = "d2"
+		is.Equal(preferredEndpoint(eps, req), p) // for a long prompt it does not depend on the entry's domain
+		if preferredEndpoint(eps[1:], req) != p {
 			moved++
 			is.Equal(p, eps[0].ID)
 		}
@@ -296,11 +296,11 @@
 	is.True(!b.LostSince(after.ID, sent))
 }
 
-// Guards against escalating doubted answers to the larger model at engines that keep every request
+// Guards against escalating low-confidence answers to the larger model at engines that keep every request
 // waiting, so that the answers come late. The engines read long prompts all the time; few requests run
 // at each, and the known outstanding work is soon done. The wait is learned from the delay of first
 // events, and the estimate drops when they are no longer late.
-func TestUsualWaitTracksLateFirstEvents(t *testing.T) {
+func TestMeanWaitTracksLateFirstEvents(t *testing.T) {
 	is := is.New(t)
 	b := NewBoard(clockwork.NewFakeClock())
 	is.Equal(b.MeanWait("s"), time.Duration(0))
