--- a/retry/retry.go
+++ b/retry/retry.go
@@ -46,8 +46,8 @@
 // in the last recentBuckets buckets; quality repeats leave room for them. Failures come in
 // bursts: when half of the endpoints of a service crashed, quality repeats used up the budget
 // that failed requests needed a second later. A past burst predicts nothing: with the whole
-// window counted, three seconds of failures kept back half to nine tenths of the doubted
-// answers in each of the next six seconds, although endpoints were idle.
+// window counted, three seconds of failures prevented the escalation of half to nine tenths
+// of the low-confidence answers in each of the next six seconds, although endpoints were idle.
 const (
 	reservedPerFailure = 1
 	recentBuckets      = 3
@@ -56,7 +56,7 @@
 const (
 	// maxOverdraw times its own part is the most that an entry takes while others leave room.
 	// Reported counts are up to a second old. Even if all entries reached this limit at once,
-	// repeats would stay within the bound, as no use takes more than 0.8 of it.
+	// repeats would stay within the bound, as no purpose uses up more than 0.8 of it.
 	maxOverdraw = 1.2
 	// peerCountsTTL is how long the counts reported by another entry stay valid.
 	peerCountsTTL = 3 * time.Second
@@ -126,23 +126,23 @@
 }
 
 // Take reports whether one more repeat is allowed, and counts it if so.
-func (b *Budget) Take(service string, use Purpose) bool {
+func (b *Budget) Take(service string, purpose Purpose) bool {
 	entries := float64(max(1, b.entries()))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.sumLocked(service)
 	part := b.bounds.Extra / entries
-	within := b.allowsOneMore(own, part, use)
-	if !within && own.usedFor(use)+1 <= maxOverdraw*b.allowed(own, part, use) {
+	within := b.allowsOneMore(own, part, purpose)
+	if !within && own.usedFor(purpose)+1 <= maxOverdraw*b.allowed(own, part, purpose) {
 		all, n := b.totalLocked(service, own)
-		within = n > 1 && b.allowsOneMore(all, part*n, use)
+		within = n > 1 && b.allowsOneMore(all, part*n, purpose)
 	}
 	if !within {
 		return false
 	}
 	ring, index := b.ringLocked(service)
 	ring[index%buckets].Repeats++
-	if use == ForFailure {
+	if purpose == ForFailure {
 		ring[index%buckets].Failures++
 	}
 	return true
@@ -150,17 +150,17 @@
 
 // allowsOneMore reports whether the bound allows one more repeat on top of a count; extra is
 // the part of the extra allowance that applies.
-func (b *Budget) allowsOneMore(c Count, extra float64, use Purpose) bool {
-	return c.usedFor(use)+1 <= b.allowed(c, extra, use)
+func (b *Budget) allowsOneMore(c Count, extra float64, purpose Purpose) bool {
+	return c.usedFor(purpose)+1 <= b.allowed(c, extra, purpose)
 }
 
-func (b *Budget) allowed(c Count, extra float64, use Purpose) float64 {
-	return float64(use) * (b.bounds.Ratio*c.Requests + extra)
+func (b *Budget) allowed(c Count, extra float64, purpose Purpose) float64 {
+	return float64(purpose) * (b.bounds.Ratio*c.Requests + extra)
 }
 
-// usedFor returns the repeats charged against the share of a use.
-func (c Count) usedFor(use Purpose) float64 {
-	if use == ForQuality {
+// usedFor returns the repeats charged against the share of a purpose.
+func (c Count) usedFor(purpose Purpose) float64 {
+	if purpose == ForQuality {
 		return c.Repeats + reservedPerFailure*c.Failures
 	}
 	return c.Repeats
@@ -188,12 +188,12 @@
 	now := b.clock.Now()
 	key := serviceHash(service)
 	sum, n = own, 1
-	for entry, t := range b.peerCounts {
-		if now.Sub(t.at) > peerCountsTTL {
+	for entry, p := range b.peerCounts {
+		if now.Sub(p.at) > peerCountsTTL {
 			delete(b.peerCounts, entry)
 			continue
 		}
-		sum.add(t.counts[key])
+		sum.add(p.counts[key])
 		n++
 	}
 	return sum, n
@@ -220,13 +220,13 @@
 
 // ReceiveCounts stores the counts of another entry, replacing its earlier ones.
 func (b *Budget) ReceiveCounts(entry string, counts []ServiceCount) {
-	t := peerCounts{counts: make(map[uint32]Count, len(counts)), at: b.clock.Now()}
+	p := peerCounts{counts: make(map[uint32]Count, len(counts)), at: b.clock.Now()}
 	for _, c := range counts {
-		t.counts[c.Service] = c.Count
+		p.counts[c.Service] = c.Count
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peerCounts[entry] = t
+	b.peerCounts[entry] = p
 }
 
 func serviceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -124,10 +124,10 @@
 	is.True(failure >= 30)
 }
 
-// Guards against doubted answers being kept for lack of budget while the fleet makes only two
-// thirds of the repeats that operators allow; one in fifteen was. An entry with two requests a
-// second by chance doubts more answers than usual, and was held to its own part because it
-// knew nothing of the other entries' use.
+// Guards against low-confidence answers not being escalated for lack of budget, in normal
+// operation and while the fleet makes only two thirds of the repeats that operators allow; one
+// in fifteen was affected. An entry with two requests a second by chance gets more of them than
+// usual, and was held to its own part because it knew nothing of the other entries' use.
 func TestEntryUsesBudgetLeftByOthers(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -148,7 +148,7 @@
 	const own = 19 // 0.79 of 18 + 7
 	is.Equal(take(20), own)
 	is.Equal(take(5), 23)     // maxOverdraw times that
-	is.Equal(take(19), own+2) // less the repeats of the others
+	is.Equal(take(19), own+2) // 0.79 of 54 + 21, less the repeats of the others
 	// Expired counts are ignored.
 	b := New(bounds, func() int { return 8 }, clock)
 	b.ReceiveCounts("i2", []ServiceCount{{serviceHash("s"), Count{Requests: 1000}}})
@@ -163,8 +163,8 @@
 	is.Equal(n, own)
 }
 
-// Guards against doubted answers being kept back for ten seconds after some endpoints crashed,
-// although the others are idle. As long as a burst of failures was in the window, as many
+// Guards against low-confidence answers not being escalated for ten seconds after some endpoints
+// crashed, although the others are idle. As long as a burst of failures was in the window, as many
 // failures again were expected.
 func TestPastFailureBurstReservesNothing(t *testing.T) {
 	is := is.New(t)
