--- a/ratelimit/headroom.go
+++ b/ratelimit/headroom.go
@@ -23,7 +23,7 @@
 	mean map[string]float64 // seconds
 }
 
-// Headroom returns the headroom that a request of a service must leave at a limited endpoint, given how
+// Headroom returns how much of a limit, in requests, a request of a service must leave unused, given how
 // long an endpoint works on it. It adds the request to the mean work of the service.
 func (l *Limits) Headroom(service string, work time.Duration) float64 {
 	w := &l.workStats
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -52,7 +52,7 @@
 	mu sync.Mutex
 	// byID is keyed by the endpoint's short id, which all entries share.
 	byID  map[uint32]*limitedEndpoint
-	heard map[string]time.Time // time of the last report, by entry
+	heard map[string]time.Time // time of the last received report, by entry
 }
 
 // limitedEndpoint is an endpoint that announces a limit, or did until recently.
@@ -73,7 +73,8 @@
 // Any reports whether any limit may be in force.
 func (l *Limits) Any() bool { return l.limitCount.Load() > 0 }
 
-// Sent returns a channel that signals requests sent, which other entries should be told of at once.
+// Sent returns a channel that signals that requests were sent, so that they are reported to other
+// entries at once.
 func (l *Limits) Sent() <-chan struct{} { return l.sent }
 
 // Observe records the limit that an endpoint's answer announces; 0: none.
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -37,11 +37,11 @@
 	return g
 }
 
-// tell delivers the reports of one entry to those for which hears returns true.
-func (g *group) tell(from int, hears func(to int) bool) {
+// sendReports delivers the reports of one entry to those for which receives returns true.
+func (g *group) sendReports(from int, receives func(to int) bool) {
 	reports := g.all[from].Reports()
 	for to, l := range g.all {
-		if to != from && hears(to) {
+		if to != from && receives(to) {
 			l.ReceiveReports(g.all[from].Instance, reports)
 		}
 	}
@@ -51,8 +51,8 @@
 
 // demand simulates requests at all entries and returns how many the endpoint got in each step of
 // 10 ms. An entry reports to the others about 10 ms after it has sent a request, and every 250 ms in
-// any case. Once a second all learn which limits there are.
-func (g *group) demand(d time.Duration, limit, perStep float64, rng *rand.Rand, hears func(from, to int) bool) []int {
+// any case. Once a second all entries receive the known limits.
+func (g *group) demand(d time.Duration, limit, perStep float64, rng *rand.Rand, receives func(from, to int) bool) []int {
 	const step = 10 * time.Millisecond
 	var got []int
 	for n := range int(d / step) {
@@ -76,7 +76,7 @@
 			}
 		}
 		for _, i := range senders {
-			g.tell(i, func(to int) bool { return hears(i, to) })
+			g.sendReports(i, func(to int) bool { return receives(i, to) })
 		}
 	}
 	return got
@@ -89,21 +89,21 @@
 	return total
 }
 
-// most returns the maximum in any window of four seconds.
-func most(got []int) int {
+// maxInWindow returns the maximum number of requests in any window of four seconds.
+func maxInWindow(got []int) int {
 	const window = 400
-	most := 0
+	maxInWindow := 0
 	for i := 0; i+window <= len(got); i++ {
-		most = max(most, sum(got[i:i+window]))
+		maxInWindow = max(maxInWindow, sum(got[i:i+window]))
 	}
-	return most
+	return maxInWindow
 }
 
 // demandFor returns the requests per step offered to an endpoint with the given limit, always more
 // than the limit.
 func demandFor(limit float64) float64 { return max(20, 4*limit) / 100 }
 
-func mayGet(limit float64) int { return int(1.5*4*limit) + 5 }
+func maxAllowed(limit float64) int { return int(1.5*4*limit) + 5 }
 
 // Guards against a limit exceeded or left unused, for any limit, number of entries and distribution of load.
 func TestLimitIsEnforcedAndFullyUsed(t *testing.T) {
@@ -113,10 +113,10 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		g.headroom = rapid.SampledFrom([]float64{0, LightHeadroom}).Draw(t, "leaves")
 		g.all[0].Observe(ep, limit)
-		g.tell(0, everyone)
+		g.sendReports(0, everyone)
 		got := g.demand(40*time.Second, limit, demandFor(limit), rng, func(int, int) bool { return true })
-		if m := most(got); m > mayGet(limit) {
-			t.Fatalf("%d in four seconds, %d allowed", m, mayGet(limit))
+		if m := maxInWindow(got); m > maxAllowed(limit) {
+			t.Fatalf("%d in four seconds, %d allowed", m, maxAllowed(limit))
 		}
 		if used := float64(sum(got)); used < 0.9*limit*40-1 {
 			t.Fatalf("%g of %g used", used, limit*40)
@@ -131,10 +131,10 @@
 		g := newGroup(rapid.IntRange(2, 16).Draw(t, "entries"), 1)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		g.all[0].Observe(ep, limit)
-		g.tell(0, everyone)
+		g.sendReports(0, everyone)
 		got := g.demand(20*time.Second, limit, demandFor(limit), rng, func(int, int) bool { return rng.Float64() > 0.3 })
-		if m := most(got); m > mayGet(limit) {
-			t.Fatalf("%d in four seconds, %d allowed", m, mayGet(limit))
+		if m := maxInWindow(got); m > maxAllowed(limit) {
+			t.Fatalf("%d in four seconds, %d allowed", m, maxAllowed(limit))
 		}
 	})
 }
@@ -146,9 +146,9 @@
 	g := newGroup(8, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	g.all[0].Observe(ep, limit)
-	g.tell(0, everyone)
+	g.sendReports(0, everyone)
 	got := g.demand(20*time.Second, limit, 1, rng, func(from, to int) bool { return from%2 == to%2 })
-	is.True(most(got[400:]) <= mayGet(limit))
+	is.True(maxInWindow(got[400:]) <= maxAllowed(limit))
 	is.True(float64(sum(got)) >= 0.9*limit*20)
 }
 
@@ -159,7 +159,7 @@
 	g := newGroup(8, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	g.all[0].Observe(ep, limit)
-	g.tell(0, everyone)
+	g.sendReports(0, everyone)
 	g.all = g.all[:6] // two are gone but still registered
 	got := g.demand(20*time.Second, limit, 1, rng, func(int, int) bool { return true })
 	is.True(float64(sum(got)) >= 0.9*limit*20)
@@ -185,15 +185,15 @@
 	is := is.New(t)
 	g := newGroup(2, 1)
 	g.all[0].Observe(ep, 0.5)
-	g.tell(0, everyone)
+	g.sendReports(0, everyone)
 	for g.all[1].Take(ep, 0) {
 	}
 	g.clock.Advance(time.Millisecond)
 	g.all[0].Observe(ep, 0)
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
-	g.tell(1, everyone) // an older report changes nothing
+	g.sendReports(1, everyone) // an older report changes nothing
 	is.Equal(g.all[0].Wait(ep, 0), time.Duration(0))
-	g.tell(0, everyone)
+	g.sendReports(0, everyone)
 	is.Equal(g.all[1].Wait(ep, 0), time.Duration(0))
 	g.clock.Advance(removedTTL + time.Second)
 	is.Equal(len(g.all[0].Reports()), 0)
@@ -211,7 +211,7 @@
 	is.True(g.all[0].Take(ep, 0))  // in the endpoint's domain
 	is.True(!g.all[1].Take(ep, 0)) // in another domain
 	got := g.demand(20*time.Second, limit, 1, rng, func(from, to int) bool { return from%4 == to%4 })
-	is.True(most(got) <= mayGet(limit))
+	is.True(maxInWindow(got) <= maxAllowed(limit))
 	is.True(float64(sum(got)) >= 0.9*limit*20)
 }
 
--- a/ratelimit/wire.go
+++ b/ratelimit/wire.go
@@ -19,8 +19,8 @@
 // Message returns the known limits as a wire message.
 func (l *Limits) Message() []*sharedpb.Limit {
 	var out []*sharedpb.Limit
-	for _, t := range l.Reports() {
-		out = append(out, &sharedpb.Limit{Endpoint: t.Endpoint, Thousandths: Thousandths(t.Limit), AgeMs: uint32(t.Age.Milliseconds())})
+	for _, r := range l.Reports() {
+		out = append(out, &sharedpb.Limit{Endpoint: r.Endpoint, Thousandths: Thousandths(r.Limit), AgeMs: uint32(r.Age.Milliseconds())})
 	}
 	return out
 }
@@ -28,8 +28,8 @@
 // MergeMessage merges the limits in a message of another entry, and reports whether any changed.
 func (l *Limits) MergeMessage(message []*sharedpb.Limit) (changed bool) {
 	limits := make([]Report, 0, len(message))
-	for _, t := range message {
-		limits = append(limits, Report{Endpoint: t.Endpoint, Limit: OfThousandths(t.Thousandths), Age: time.Duration(t.AgeMs) * time.Millisecond})
+	for _, m := range message {
+		limits = append(limits, Report{Endpoint: m.Endpoint, Limit: OfThousandths(m.Thousandths), Age: time.Duration(m.AgeMs) * time.Millisecond})
 	}
 	return l.Merge(limits)
 }
