--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -75,7 +75,7 @@
 	return false
 }
 
-// Record records whether an answer passed step.
+// Record updates the pass rate of step by whether an answer passed it.
 func (p *Planner) Record(cascade string, step, promptBytes int, passed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +97,7 @@
 	PassShare float64 `json:"pass_share"`
 }
 
-// State returns the current dump.
+// State returns the learned pass rates for the state dump.
 func (p *Planner) State() []StepState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -54,7 +54,7 @@
 	// NoTime: a larger model's answer would be late.
 	NoTime Verdict = "no time"
 	// EnginesBusy: the engines are too busy for an answer of this confidence, or at their
-	// limits.
+	// rate limits.
 	EnginesBusy Verdict = "engines busy"
 	// Suspect: endpoints crashed while they held the request.
 	Suspect Verdict = "endpoints crashed under it"
@@ -65,7 +65,7 @@
 // Estimate estimates what a larger model's answer would take.
 type Estimate struct {
 	Elapsed   time.Duration // since the request arrived
-	Wait      time.Duration // behind other requests: at the chosen engine, or the usual one if longer
+	Wait      time.Duration // behind other requests: at the chosen engine, or the service's mean if longer
 	First     time.Duration // from the end of the wait to the larger model's first event
 	Objective time.Duration
 	// Utilization is the number of requests that run and wait at the service's engines, as
@@ -75,26 +75,26 @@
 
 // headroom is the capacity left for a larger model's answer, from 1 at relaxedLoad
 // or less to 0 at maxLoad or more.
-func (o Estimate) headroom() float64 {
-	return min(1, max(0, (maxLoad-o.Utilization)/(maxLoad-relaxedLoad)))
+func (e Estimate) headroom() float64 {
+	return min(1, max(0, (maxLoad-e.Utilization)/(maxLoad-relaxedLoad)))
 }
 
 // slack is the share of the objective that would be left.
-func (o Estimate) slack() float64 {
-	if o.Objective <= 0 {
+func (e Estimate) slack() float64 {
+	if e.Objective <= 0 {
 		return 1
 	}
-	return 1 - float64(o.Elapsed+waitFactor*o.Wait+o.First)/float64(o.Objective)
+	return 1 - float64(e.Elapsed+waitFactor*e.Wait+e.First)/float64(e.Objective)
 }
 
 // First returns the index of the model that a request starts with.
-func (l EscalationPolicy) First(int) int { return 0 }
+func (p EscalationPolicy) First(int) int { return 0 }
 
 // Next returns the model to ask after an answer of the model at index with
 // the given confidence. It is the largest: an intermediate one costs an attempt
 // and is little better.
-func (l EscalationPolicy) Next(models, index, confidence int) (next int, ok bool) {
-	if index >= models-1 || confidence < 0 || confidence >= l.MinConfidence {
+func (p EscalationPolicy) Next(models, index, confidence int) (next int, ok bool) {
+	if index >= models-1 || confidence < 0 || confidence >= p.MinConfidence {
 		return index, false
 	}
 	return models - 1, true
@@ -102,17 +102,17 @@
 
 // Decide decides whether to ask the larger model, by the time left and the engines'
 // load.
-func (l EscalationPolicy) Decide(confidence int, o Estimate) Verdict {
-	slack := o.slack()
+func (p EscalationPolicy) Decide(confidence int, e Estimate) Verdict {
+	slack := e.slack()
 	if slack < minSlack {
 		return NoTime
 	}
 	timeFactor := min(1, (slack-minSlack)/(relaxedSlack-minSlack))
-	threshold := float64(l.MinConfidence) * timeFactor
+	threshold := float64(p.MinConfidence) * timeFactor
 	switch {
 	case float64(confidence) >= threshold:
 		return NoTime
-	case float64(confidence) >= threshold*o.headroom():
+	case float64(confidence) >= threshold*e.headroom():
 		return EnginesBusy
 	}
 	return Escalate
--- a/cascade/confidence_test.go
+++ b/cascade/confidence_test.go
@@ -10,20 +10,20 @@
 	_ "github.com/lovageweir/lovageweir/internal/rapidseed"
 )
 
-// escalates reports whether Judge asks a larger model.
-func (l EscalationPolicy) escalates(confidence int, o Estimate) bool {
-	return l.Decide(confidence, o) == Escalate
+// escalates reports whether Decide chooses a larger model.
+func (p EscalationPolicy) escalates(confidence int, e Estimate) bool {
+	return p.Decide(confidence, e) == Escalate
 }
 
-func idleOutlook() Estimate {
+func idleEstimate() Estimate {
 	return Estimate{First: 200 * time.Millisecond, Objective: 2 * time.Second}
 }
 
 func TestLowConfidenceEscalatesWhenIdle(t *testing.T) {
 	is := is.New(t)
-	l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
-	is.True(l.escalates(DefaultMinConfidence-1, idleOutlook()))
-	is.True(!l.escalates(DefaultMinConfidence, idleOutlook()))
+	p := EscalationPolicy{MinConfidence: DefaultMinConfidence}
+	is.True(p.escalates(DefaultMinConfidence-1, idleEstimate()))
+	is.True(!p.escalates(DefaultMinConfidence, idleEstimate()))
 }
 
 // Guards against all answers being late when half of the engines have crashed: the
@@ -32,31 +32,31 @@
 // lower the confidence must be for an answer to be dropped.
 func TestThresholdFallsWithEngineLoad(t *testing.T) {
 	is := is.New(t)
-	l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
-	o := idleOutlook()
-	o.Utilization = (relaxedLoad + maxLoad) / 2
-	is.True(!l.escalates(DefaultMinConfidence-1, o))
-	is.True(l.escalates(DefaultMinConfidence/2-1, o))
-	o.Utilization = maxLoad
-	is.True(!l.escalates(0, o))
+	p := EscalationPolicy{MinConfidence: DefaultMinConfidence}
+	e := idleEstimate()
+	e.Utilization = (relaxedLoad + maxLoad) / 2
+	is.True(!p.escalates(DefaultMinConfidence-1, e))
+	is.True(p.escalates(DefaultMinConfidence/2-1, e))
+	e.Utilization = maxLoad
+	is.True(!p.escalates(0, e))
 }
 
 // More elapsed time, a longer wait or a higher load never causes an answer to be
 // dropped that would otherwise be kept.
 func TestDelayAndLoadNeverCauseEscalation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := EscalationPolicy{MinConfidence: DefaultMinConfidence}
+		p := EscalationPolicy{MinConfidence: DefaultMinConfidence}
 		ms := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3000).Draw(t, name)) * time.Millisecond
 		}
-		o := Estimate{Elapsed: ms("elapsed"), Wait: ms("wait"), First: ms("first"), Objective: 2 * time.Second, Utilization: rapid.Float64Range(0, 2).Draw(t, "busy")}
-		worse := o
+		e := Estimate{Elapsed: ms("elapsed"), Wait: ms("wait"), First: ms("first"), Objective: 2 * time.Second, Utilization: rapid.Float64Range(0, 2).Draw(t, "busy")}
+		worse := e
 		worse.Elapsed += ms("more_elapsed")
 		worse.Wait += ms("more_wait")
 		worse.Utilization += rapid.Float64Range(0, 1).Draw(t, "more_busy")
 		confidence := rapid.IntRange(0, 100).Draw(t, "confidence")
-		if l.escalates(confidence, worse) && !l.escalates(confidence, o) {
-			t.Fatalf("escalated at %+v but not at %+v", worse, o)
+		if p.escalates(confidence, worse) && !p.escalates(confidence, e) {
+			t.Fatalf("escalated at %+v but not at %+v", worse, e)
 		}
 	})
 }
