--- a/drain/drain.go
+++ b/drain/drain.go
@@ -11,7 +11,7 @@
 	// connections arrive as usual.
 	ServeAtLeast time.Duration
 	// End is when requests still in flight are cancelled. The process must be
-	// able to run for LastAnswers longer.
+	// able to run for FlushTimeout longer.
 	End time.Duration
 }
 
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -89,7 +89,7 @@
 
 var testTimes = Times{AcceptAllFor: time.Second, ServeAtLeast: 2 * time.Second, End: 5 * time.Second}
 
-// A process without requests in flight still serves for Times.Stays before it exits.
+// A process without requests in flight still serves for Times.ServeAtLeast before it exits.
 func TestIdleProcessServesForMinimumTime(t *testing.T) {
 	is := is.New(t)
 	s := startDrain(testTimes, 0)
@@ -171,7 +171,7 @@
 	is.True(errors.Is(context.Cause(late), ErrDeadline)) // immediately, or a request would still be sent
 }
 
-// A bound context ends with its parent's cause, and is not cancelled with ErrCut
+// A bound context ends with its parent's cause, and is not cancelled with ErrDeadline
 // once it is unbound.
 func TestBoundContextKeepsParentCause(t *testing.T) {
 	is := is.New(t)
--- a/drain/gate.go
+++ b/drain/gate.go
@@ -22,7 +22,7 @@
 	// flight. In two variables, a request could enter between the check that
 	// found none and the closing, and be cancelled.
 	state atomic.Int64
-	// drainCtx is cancelled with cause ErrCut.
+	// drainCtx is cancelled with cause ErrDeadline at the end of a shutdown.
 	drainCtx  context.Context
 	cancelAll context.CancelCauseFunc
 }
@@ -103,8 +103,8 @@
 	return now.Before(s.acceptAllUntil) || !now.Add(needs).After(s.end)
 }
 
-// BindContext returns a context that is cancelled with ctx, and with cause ErrCut at the
-// end of a shutdown.
+// BindContext returns a context that is cancelled with ctx, and with cause ErrDeadline at
+// the end of a shutdown.
 //
 // It is a child of the gate's context, so that cancelAll has ended it when it
 // returns. If a separate goroutine cancelled it, a request could still be sent to
