--- a/call/call.go
+++ b/call/call.go
@@ -45,17 +45,17 @@
 
 // SharedPrompt returns the prompt without its last part, which is specific to
 // the request.
-func (f *RequestMetadata) SharedPrompt() []PromptPart {
-	if len(f.Prompt) == 0 {
+func (m *RequestMetadata) SharedPrompt() []PromptPart {
+	if len(m.Prompt) == 0 {
 		return nil
 	}
-	return f.Prompt[:len(f.Prompt)-1]
+	return m.Prompt[:len(m.Prompt)-1]
 }
 
 // SharedTokens returns the number of tokens in the shared prompt.
-func (f *RequestMetadata) SharedTokens() int {
+func (m *RequestMetadata) SharedTokens() int {
 	n := 0
-	for _, p := range f.SharedPrompt() {
+	for _, p := range m.SharedPrompt() {
 		n += p.Tokens
 	}
 	return n
@@ -67,7 +67,7 @@
 	Remaining time.Duration
 	Customer  string
 	Model     string // replaces AnyModel; empty: the model that the caller sent
-	// ResumeAfter has the meaning of Facts.ResumeAfter.
+	// ResumeAfter has the meaning of RequestMetadata.ResumeAfter.
 	ResumeAfter string
 	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
@@ -105,7 +105,7 @@
 }
 
 // Success reports whether the status is 2xx.
-func (a *ResponseMetadata) Success() bool { return a.Status/100 == 2 }
+func (m *ResponseMetadata) Success() bool { return m.Status/100 == 2 }
 
 // HeaderCodec decodes and encodes the headers of requests and responses; the
 // platform's adapter implements it.
@@ -113,7 +113,7 @@
 	// Request decodes the headers of a caller's request.
 	Request(h http.Header) RequestMetadata
 	// Forward returns the headers to send to an endpoint.
-	Forward(from http.Header, d ForwardOptions) http.Header
+	Forward(from http.Header, o ForwardOptions) http.Header
 	// Answer decodes the status and headers of an endpoint's response.
 	Answer(status int, h http.Header) ResponseMetadata
 	// Returned returns the headers to send to the caller.
