--- a/upstream/probes.go
+++ b/upstream/probes.go
@@ -20,7 +20,7 @@
 // of an endpoint share one probe. The zero value is ready to use.
 type Prober struct {
 	// Window is how long an endpoint that accepts connections is probed for its exit;
-	// 0: endsWithin.
+	// 0: exitWindow.
 	Window time.Duration
 	probes singleflight.Group
 }
@@ -29,8 +29,8 @@
 // a connection accepts another one and keeps it open. One that is partitioned does not
 // answer, may be healthy, and is not reported.
 func (p *Prober) Exited(address string) bool {
-	ended, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
-	return ended.(bool)
+	exited, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
+	return exited.(bool)
 }
 
 // probe connects until the endpoint refuses a connection or keeps one open. It tries more
--- a/upstream/probes_test.go
+++ b/upstream/probes_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a crash being taken for a lost connection: an exiting process still accepts connections for a moment.
-func TestProbesDetectAnExitingEndpoint(t *testing.T) {
+func TestProberDetectsAnExitingEndpoint(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -21,12 +21,12 @@
 		_ = ln.Close()
 		_ = conn.Close()
 	}()
-	probes := Prober{Window: time.Minute}
-	is.True(probes.Exited(ln.Addr().String()))
+	prober := Prober{Window: time.Minute}
+	is.True(prober.Exited(ln.Addr().String()))
 }
 
 // Guards against a lost connection being taken for a crash.
-func TestProbesIgnoreALostConnection(t *testing.T) {
+func TestProberIgnoresALostConnection(t *testing.T) {
 	for name, keep := range map[string]bool{"keeps the next one": true, "loses the next one too": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -46,8 +46,8 @@
 					_ = conn.Close()
 				}
 			}()
-			probes := Prober{Window: 10 * time.Millisecond}
-			is.True(!probes.Exited(ln.Addr().String()))
+			prober := Prober{Window: 10 * time.Millisecond}
+			is.True(!prober.Exited(ln.Addr().String()))
 		})
 	}
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -149,16 +149,16 @@
 	raw []byte
 }
 
-func (f *bytesConn) Read(p []byte) (int, error) {
-	if len(f.raw) == 0 {
+func (c *bytesConn) Read(p []byte) (int, error) {
+	if len(c.raw) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, f.raw)
-	f.raw = f.raw[n:]
+	n := copy(p, c.raw)
+	c.raw = c.raw[n:]
 	return n, nil
 }
 
-func (f *bytesConn) Close() error { return nil }
+func (c *bytesConn) Close() error { return nil }
 
 // Guards against a short call being late because it waits too long to connect to a
 // partitioned endpoint while another one could have served it: the time to connect
