--- a/ingress/admission_test.go
+++ b/ingress/admission_test.go
@@ -65,7 +65,7 @@
 	}
 	a := w.do(http.MethodPost, "/post/a%2Fb?q=1", "body", "X-Tenant", "other", "X-Hold", "h", "X-Pin-Duration", "1", "X-Kv-Backup", "1.2.3.4:5",
 		"Kv-From", "x", "Kv-Fetch", "x", "X-Request-Priority", "0", "X-Expect-Instance", "e9", "X-Other", "kept", "Connection", "X-Dropped", "X-Dropped", "1")
-	a.whole(is)
+	a.assertComplete(is)
 	run := w.runs()[0]
 	is.Equal(run.Customer, "cust")
 	is.Equal(run.Key, "")
@@ -82,7 +82,7 @@
 func TestTheDeadlineIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	w := newEnv(t, 1)
-	w.do(http.MethodPost, "/quick/x", "body", "X-Deadline-Remaining", "60000").whole(is)
+	w.do(http.MethodPost, "/quick/x", "body", "X-Deadline-Remaining", "60000").assertComplete(is)
 	left := w.runs()[0].Remaining
 	is.True(left > 0)
 	is.True(left.Milliseconds() <= 300) // the route's timeout
@@ -115,7 +115,7 @@
 		<-done
 	}
 	waitFor(t, func() bool { return w.gate.InFlight() == 0 })
-	w.do(http.MethodPost, "/post/x", "body").whole(is)
+	w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 }
 
 // A body of unknown length is bounded as well.
@@ -151,5 +151,5 @@
 		runtime.Gosched()
 	}
 	w.sync()
-	(<-answered).whole(is)
+	(<-answered).assertComplete(is)
 }
--- a/ingress/buffered.go
+++ b/ingress/buffered.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// errRetry: the send failed and its retry is already taken from the budget.
-var errRetry = errors.New("another endpoint is tried")
+// errRetry: the answer is not used, and the retry is already taken from the budget.
+var errRetry = errors.New("request is sent again")
 
 // minRetryTime is the least remaining time for which a failed request is sent to
 // another endpoint.
@@ -153,7 +153,7 @@
 // mismatched reports whether an answer belongs to another attempt, or is a success
 // without the endpoint's seal.
 func (x *exchange) mismatched(c *upstreamCall) bool {
-	return c.head.ID != "" && c.head.ID != x.facts.ID || c.head.Success() && !c.head.Sealed
+	return c.head.ID != "" && c.head.ID != x.metadata.ID || c.head.Success() && !c.head.Sealed
 }
 
 // readAnswer reads the whole body.
--- a/ingress/cluster_test.go
+++ b/ingress/cluster_test.go
@@ -35,7 +35,7 @@
 	for i := range n {
 		e := newEnvWithStore(t, store, clock, fmt.Sprintf("i%d", i))
 		f.all = append(f.all, e)
-		m := mesh.New(mesh.Deps{Fleet: e.fleet, Rollouts: e.orders, Quarantine: e.quarantine, Limits: e.limits, Clock: clock, Log: slog.New(slog.DiscardHandler)})
+		m := mesh.New(mesh.Deps{Fleet: e.fleet, Rollouts: e.rolloutController, Quarantine: e.quarantine, Limits: e.limits, Clock: clock, Log: slog.New(slog.DiscardHandler)})
 		srv := httptest.NewServer(meshpb.NewMeshServer(m))
 		t.Cleanup(srv.Close)
 		m.Address = strings.TrimPrefix(srv.URL, "http://")
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -19,7 +19,7 @@
 // noteCrash records that the endpoint of an attempt crashed, if it did.
 func (x *exchange) noteCrash(c *upstreamCall, stage quarantine.Stage) {
 	if c.watch.cause() == "" {
-		x.attempts[c.attemptIndex].crashed = x.server.noteCrash(x.facts.ID, x.fingerprint, c.endpoint, stage)
+		x.attempts[c.attemptIndex].crashed = x.server.noteCrash(x.metadata.ID, x.fingerprint, c.endpoint, stage)
 	}
 }
 
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -85,7 +85,7 @@
 			f.sent++
 			req := e.request(http.MethodPost, "/resume/stream", fmt.Sprintf("lawful %d of entry %d", j, i), "X-Attempt-Id", fmt.Sprintf("r%d", f.sent))
 			wg.Go(func() {
-				if !wholeStream(req) {
+				if !receivesWholeStream(req) {
 					n.Add(1)
 				}
 			})
@@ -97,7 +97,7 @@
 	}
 }
 
-func wholeStream(req *http.Request) bool {
+func receivesWholeStream(req *http.Request) bool {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
@@ -108,7 +108,7 @@
 }
 
 // Guards against an endpoint being crashed by an attempt that still waits there when the request is quarantined.
-func TestACopyThatWaitsAtAnEndpointIsStopped(t *testing.T) {
+func TestQuarantineCancelsAWaitingAttempt(t *testing.T) {
 	for _, path := range []string{"/resume/stream", "/get/x", "/post/x"} {
 		is := is.New(t)
 		w := newEnv(t, 2)
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -37,7 +37,7 @@
 	r        *http.Request
 	received time.Time
 	deadline time.Time
-	facts    call.RequestMetadata
+	metadata call.RequestMetadata
 	view     *fleet.View
 	route    *fleet.Route
 	customer *fleet.Customer
@@ -50,7 +50,7 @@
 	tried map[fleet.EndpointID]bool
 	// runs counts the sends that may have run, refused those that did not run.
 	runs, refused int
-	headroom      float64 // how many requests of its limit the next send leaves to others
+	headroom      float64 // what the next send leaves unused of the endpoint's limit, in requests
 	retryReserved bool    // the next retry was already taken from the budget
 	unreached     int     // sends for which no connection was accepted
 	model         int     // index into the route's models
@@ -102,7 +102,7 @@
 	if len(targets) == 1 || total == 0 {
 		return x.service
 	}
-	point := int(place.Hash(x.facts.ID, x.route.Name) >> 1 % uint64(total))
+	point := int(place.Hash(x.metadata.ID, x.route.Name) >> 1 % uint64(total))
 	for _, t := range targets {
 		if point < t.Weight {
 			x.service = t.Service
@@ -125,13 +125,13 @@
 // modelName returns the model to request from the endpoint; empty: the one that
 // the caller named.
 func (x *exchange) modelName() string {
-	if len(x.route.Models) == 0 || x.facts.Model != call.AnyModel {
+	if len(x.route.Models) == 0 || x.metadata.Model != call.AnyModel {
 		return ""
 	}
 	return x.route.Models[x.model]
 }
 
-// upstreamCall is a request at an endpoint.
+// upstreamCall is one send of a request to an endpoint.
 type upstreamCall struct {
 	group        *fleet.Group
 	endpoint     fleet.Endpoint
@@ -183,17 +183,17 @@
 	ep := best.Endpoint
 	x.tried[ep.ID] = true
 	ctx, cancel := context.WithCancel(ctx)
-	c := &upstreamCall{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.PrefillTime(x.modelName(), x.facts.Usage.Prompt)), cancel: cancel, attemptIndex: len(x.attempts), expectedWait: best.Standing.Wait}
+	c := &upstreamCall{group: group, endpoint: ep, ticket: s.Board.Begin(ep, s.Rates.PrefillTime(x.modelName(), x.metadata.Usage.Prompt)), cancel: cancel, attemptIndex: len(x.attempts), expectedWait: best.Standing.Wait}
 	x.attempts = append(x.attempts, attempt{endpoint: ep, lapsed: group.HasLapsed(ep.ID), model: x.modelName(), confidence: -1, begun: s.Clock.Since(x.received)})
-	d := call.ForwardOptions{Endpoint: ep.Name, Remaining: x.remaining(), Model: x.modelName(), ResumeAfter: resumeAfter}
-	d.Urgency, d.SetUrgency = x.urgency()
+	opts := call.ForwardOptions{Endpoint: ep.Name, Remaining: x.remaining(), Model: x.modelName(), ResumeAfter: resumeAfter}
+	opts.Urgency, opts.SetUrgency = x.urgency()
 	if x.customer != nil {
-		d.Customer = x.customer.Name
+		opts.Customer = x.customer.Name
 	}
 	c.watch = x.watch(c, cancel)
 	c.hold = s.Quarantine.Hold(x.fingerprint, cancel)
 	resp, err := upstream.Send(ctx, &upstream.Request{Address: ep.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.HeaderCodec.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectTimeout()})
+		Header: s.HeaderCodec.Forward(x.r.Header, opts), Body: x.body, HasBody: x.hasBody, ConnectTimeout: x.connectTimeout()})
 	if err != nil {
 		return c, nil, x.failedSend(ctx, c, err)
 	}
@@ -278,8 +278,7 @@
 )
 
 // cutByStop reports whether a request's context ended because the time of a planned
-// stop was over, and not because its caller left, to which the log would otherwise
-// attribute it.
+// stop was over. Without this check the log would say that the caller left.
 func cutByStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), drain.ErrDeadline) }
 
 // observe counts the answer for the roll-outs and, unless its version may be a slow
@@ -287,7 +286,7 @@
 func (x *exchange) observe(c *upstreamCall, failed bool, took time.Duration) {
 	x.attempts[c.attemptIndex].first = took
 	s := x.server
-	model, tokens := x.modelName(), x.facts.Usage.Prompt
+	model, tokens := x.modelName(), x.metadata.Usage.Prompt
 	a := rollout.Answer{Group: c.group, Endpoint: c.endpoint, Route: x.route.Name, Model: model, Failed: failed, Took: took, Wait: c.expectedWait}
 	if tokens > 0 {
 		a.Expected = s.Rates.TimeToFirstEvent(model, tokens)
@@ -302,11 +301,11 @@
 	if usual {
 		s.Rates.Learn(model, tokens, took)
 	}
-	s.Rollouts.RecordSession(x.facts.Session, c.group, c.endpoint.Version)
+	s.Rollouts.RecordSession(x.metadata.Session, c.group, c.endpoint.Version)
 }
 
 // mayRetry reports whether a request that may have run can be sent again.
-func (x *exchange) mayRetry(use retry.Purpose) bool {
+func (x *exchange) mayRetry(purpose retry.Purpose) bool {
 	if !x.route.MayRepeat() || x.runs >= x.route.MaxAttempts || x.remaining() <= minAttemptTime {
 		return false
 	}
@@ -314,7 +313,7 @@
 		x.retryReserved = false
 		return true
 	}
-	return x.server.Budget.Take(x.target(), use)
+	return x.server.Budget.Take(x.target(), purpose)
 }
 
 // mayRetryRefused reports whether a request that an endpoint refused to run can be
--- a/ingress/faults_test.go
+++ b/ingress/faults_test.go
@@ -54,7 +54,7 @@
 			is := is.New(t)
 			w := newEnv(t, 3)
 			w.faults(f)
-			w.do(http.MethodGet, "/get/x", "").whole(is)
+			w.do(http.MethodGet, "/get/x", "").assertComplete(is)
 		})
 	}
 }
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	w := newEnv(t, 3)
 	w.faults(platformtest.Refuse, platformtest.Refuse)
-	w.do(http.MethodPost, "/post/x", "body").whole(is)
+	w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 	is.Equal(len(w.runs()), 1)
 }
 
@@ -87,8 +87,8 @@
 	is := is.New(t)
 	w := newEnv(t, 1)
 	w.faults(platformtest.Extra)
-	w.do(http.MethodPost, "/post/x", "body").whole(is)
-	w.do(http.MethodPost, "/post/x", "body").whole(is)
+	w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
+	w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 }
 
 // A response without a length ends with its connection.
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	w := newEnv(t, 1)
 	w.faults(platformtest.Unframed)
-	w.do(http.MethodPost, "/post/x", "body").whole(is)
+	w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 }
 
 // Guards against entry and endpoint waiting for each other until the deadline when the
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	w := newEnv(t, 1)
 	w.faults(platformtest.Early)
-	w.do(http.MethodPost, "/post/x", strings.Repeat("b", 60<<10)).whole(is)
+	w.do(http.MethodPost, "/post/x", strings.Repeat("b", 60<<10)).assertComplete(is)
 }
 
 // Guards against a caller getting a stream with a gap, with duplicate events, or one
@@ -115,13 +115,13 @@
 	is := is.New(t)
 	w := newEnv(t, 3)
 	w.faults(platformtest.ResetMiddle, platformtest.ResetMiddle)
-	w.do(http.MethodPost, "/resume/stream", "body").wholeStream(is)
+	w.do(http.MethodPost, "/resume/stream", "body").assertCompleteStream(is)
 	runs := w.runs()
 	is.Equal(len(runs), 3)
 }
 
-// Guards against the same on a route whose streams are not resumable. The caller's
-// stream breaks off recognisably, and nothing runs twice.
+// Guards against a stream that breaks off being resumed, or looking complete, on a route
+// whose streams are not resumable. It breaks off recognisably, and nothing runs twice.
 func TestAStreamThatMayNotResumeIsBrokenOff(t *testing.T) {
 	is := is.New(t)
 	w := newEnv(t, 3)
@@ -157,7 +157,7 @@
 	is := is.New(t)
 	w := newEnv(t, 2)
 	w.faults(platformtest.Hang)
-	w.do(http.MethodGet, "/get/x", "").whole(is)
+	w.do(http.MethodGet, "/get/x", "").assertComplete(is)
 }
 
 // Guards against engines working for callers that closed their connection while the
@@ -202,13 +202,13 @@
 	w := newEnv(t, 2)
 	w.engines[0].Config.ID = "another" // the registration names e1
 	for range 5 {
-		w.do(http.MethodPost, "/post/x", "body").whole(is)
+		w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 	}
 	is.Equal(len(w.engines[0].Runs()), 0)
 }
 
 // Guards against a halted version getting requests when the only endpoints left are those whose registration has lapsed.
-func TestHaltedVersionIsNoFallback(t *testing.T) {
+func TestHaltedVersionIsNotALastResort(t *testing.T) {
 	is := is.New(t)
 	w := newEnv(t, 0)
 	w.addEngine(platformtest.EngineConfig{ID: "old", Service: service, Domain: "d1", Version: "v1"})
@@ -216,7 +216,7 @@
 	w.put("op/rollout/"+service, []byte(`{"service":"`+service+`","target":"v2","duration_s":1000}`))
 	w.sync()
 	order := w.fleet.View().Group(service).Rollout.Ordered
-	w.orders.Merge([]rollout.OrderState{{Service: service, Ordered: order, Halted: true}}, nil, nil)
+	w.rolloutController.Merge([]rollout.OrderState{{Service: service, Ordered: order, Halted: true}}, nil, nil)
 	for _, e := range w.engines {
 		name, _ := e.Registration(false)
 		_, err := w.kv.Delete(context.Background(), name, false)
@@ -225,7 +225,7 @@
 	w.sync()
 	w.server.LapsedGrace = time.Hour // however slow the machine is
 	for range 10 {
-		w.do(http.MethodPost, "/post/x", "body").whole(is)
+		w.do(http.MethodPost, "/post/x", "body").assertComplete(is)
 	}
 	is.Equal(len(w.engines[0].Runs()), 10)
 	is.True(strings.Contains(w.logs.String(), `"sends":"old v1 lapsed at=`)) // the log line shows it
--- a/ingress/harness_test.go
+++ b/ingress/harness_test.go
@@ -62,19 +62,19 @@
 }
 
 type testEnv struct {
-	t          *testing.T
-	kv         *memkv.Store
-	fleet      *fleet.Follower
-	engines    []*platformtest.Engine
-	server     *ingress.Server
-	gate       *drain.Gate
-	stop       *clockwork.FakeClock // the gate's clock
-	orders     *rollout.Controller
-	quarantine *quarantine.Table
-	limits     *ratelimit.Limits
-	loads      *mesh.LoadExchange
-	url        string
-	logs       *logBuffer
+	t                 *testing.T
+	kv                *memkv.Store
+	fleet             *fleet.Follower
+	engines           []*platformtest.Engine
+	server            *ingress.Server
+	gate              *drain.Gate
+	gateClock         *clockwork.FakeClock
+	rolloutController *rollout.Controller
+	quarantine        *quarantine.Table
+	limits            *ratelimit.Limits
+	loads             *mesh.LoadExchange
+	url               string
+	logs              *logBuffer
 }
 
 // logBuffer collects the log; it is safe for concurrent use.
@@ -123,12 +123,12 @@
 	board := place.NewBoard(clock)
 	rollouts := rollout.New(rollout.Deps{Instance: name, Boot: 1, Store: w.kv, Decoder: platform.Values{}, View: w.fleet.View,
 		SessionLife: 5 * time.Second, Exposure: rollout.Exposure{Share: 0.15, Slack: 30}, Clock: clock, Log: log})
-	w.orders = rollouts
+	w.rolloutController = rollouts
 	w.quarantine = quarantine.New(quarantine.Deps{Store: w.kv, View: w.fleet.View, Clock: clock, Log: log})
 	w.limits = ratelimit.New(ratelimit.Deps{Instance: name, Domain: "d1", Entries: func() []fleet.Entry { return w.fleet.View().Entries }, Clock: clock, Log: log})
 	budget := retry.New(retry.Bounds{Ratio: 0.9, Extra: 50, Window: 10 * time.Second}, func() int { return 1 }, clock)
-	w.stop = clockwork.NewFakeClock()
-	w.gate = drain.NewGate(w.stop)
+	w.gateClock = clockwork.NewFakeClock()
+	w.gate = drain.NewGate(w.gateClock)
 	w.server = ingress.New(ingress.Deps{Instance: name, Domain: "d1", Fleet: w.fleet, HeaderCodec: platform.Headers{}, Board: board, Rates: place.NewRates(),
 		Budget: budget, Rollouts: rollouts, Quarantine: w.quarantine, Limits: w.limits, EscalationPolicy: cascade.EscalationPolicy{MinConfidence: cascade.DefaultMinConfidence}, Gate: w.gate, BodyMemory: 1 << 20, MaxInFlight: 20, LapsedGrace: time.Second,
 		Clock: clock, Log: log, Scope: tally.NoopScope})
@@ -230,8 +230,8 @@
 	return answer{resp.StatusCode, resp.Header, string(raw), resp.Close, err}
 }
 
-// whole checks that an answer is the complete answer to request a1.
-func (a answer) whole(is *is.I) {
+// assertComplete checks that an answer is the complete answer to request a1.
+func (a answer) assertComplete(is *is.I) {
 	is.Helper()
 	is.NoErr(a.err)
 	is.Equal(a.status, http.StatusOK)
@@ -239,8 +239,8 @@
 	is.True(a.header.Get("X-Response-Seal") != "") // the engine's seal is forwarded
 }
 
-// wholeStream checks that an answer has all events of a stream.
-func (a answer) wholeStream(is *is.I) {
+// assertCompleteStream checks that an answer has all events of a stream.
+func (a answer) assertCompleteStream(is *is.I) {
 	is.Helper()
 	is.NoErr(a.err)
 	is.Equal(a.status, http.StatusOK)
--- a/ingress/limit_test.go
+++ b/ingress/limit_test.go
@@ -122,12 +122,12 @@
 			f := newLimitedFleet(t, 8, 4)
 			f.run(time.Second, 8)
 			f.engines[0].SetLimit(limit)
-			const lasts = 30 * time.Second
-			answered, refused := f.run(lasts, 8)
+			const duration = 30 * time.Second
+			answered, refused := f.run(duration, 8)
 			is.True(f.maxArrivals(0, time.Second+limitGrace, limitWindow) <= maxAllowed(limit))
 			got := sum(f.arrivals[0][int(time.Second/step):])
-			is.True(float64(got) >= 0.9*limit*lasts.Seconds()) // the limit is used up
-			is.Equal(refused, 0)                               // the other engines have room
+			is.True(float64(got) >= 0.9*limit*duration.Seconds()) // the limit is used up
+			is.Equal(refused, 0)                                  // the other engines have room
 			is.True(answered > 0)
 		})
 	}
@@ -152,13 +152,13 @@
 	for _, e := range f.engines {
 		e.SetLimit(limit)
 	}
-	const lasts = 30 * time.Second
-	answered, refused := f.run(lasts, 8)
+	const duration = 30 * time.Second
+	answered, refused := f.run(duration, 8)
 	is.True(refused > 0)
 	for i := range f.engines {
 		is.True(f.maxArrivals(i, limitGrace, limitWindow) <= maxAllowed(limit))
 	}
-	is.True(float64(answered) >= 0.9*2*limit*lasts.Seconds())
+	is.True(float64(answered) >= 0.9*2*limit*duration.Seconds())
 }
 
 // Guards against light requests being refused permanently while all endpoints announce a limit.
--- a/ingress/models_test.go
+++ b/ingress/models_test.go
@@ -39,7 +39,7 @@
 func TestConfidentAnswerOfSmallModelIsKept(t *testing.T) {
 	is := is.New(t)
 	w := newModelsEnv(t, 95)
-	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").wholeStream(is)
+	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").assertCompleteStream(is)
 	is.Equal(modelsRun(w), []string{smallM})
 }
 
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	w := newModelsEnv(t, 10)
 	a := w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10")
-	a.wholeStream(is)
+	a.assertCompleteStream(is)
 	is.Equal(modelsRun(w), []string{smallM, largeM})
 	is.Equal(a.header.Get("X-Confidence"), "90") // the headers belong to the answer that is returned
 }
@@ -56,7 +56,7 @@
 func TestANamedModelIsNotReplaced(t *testing.T) {
 	is := is.New(t)
 	w := newModelsEnv(t, 10)
-	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", smallM, "X-Token-Usage", "100,10").wholeStream(is)
+	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", smallM, "X-Token-Usage", "100,10").assertCompleteStream(is)
 	is.Equal(modelsRun(w), []string{smallM})
 }
 
@@ -70,7 +70,7 @@
 	}
 	w.sync()
 	w.faults(platformtest.NoFault, platformtest.ResetMiddle)
-	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").wholeStream(is)
+	w.do(http.MethodPost, "/sized/stream", "body", "X-Model", "*", "X-Token-Usage", "100,10").assertCompleteStream(is)
 	models := modelsRun(w)
 	is.Equal(len(models), 3)
 	large := 0
@@ -91,6 +91,6 @@
 	w.addEngine(platformtest.EngineConfig{ID: "e1", Service: service, Domain: "d1", Version: "v1",
 		PrefillTime: map[string]time.Duration{largeM: 1500 * time.Millisecond}})
 	w.sync()
-	w.do(http.MethodPost, "/resume/stream", "body", "X-Model", largeM, "X-Token-Usage", "1000,10").wholeStream(is)
+	w.do(http.MethodPost, "/resume/stream", "body", "X-Model", largeM, "X-Token-Usage", "1000,10").assertCompleteStream(is)
 	is.Equal(len(w.runs()), 1)
 }
--- a/ingress/pick.go
+++ b/ingress/pick.go
@@ -16,19 +16,19 @@
 	if group == nil {
 		return nil, place.Ranked{}, refuseNoEndpoint
 	}
-	choice := x.server.Rollouts.Choose(group, rollout.Request{ID: x.facts.ID, Session: x.facts.Session, Route: x.route.Name})
-	want := place.Request{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.facts.SharedTokens(), Affinity: x.affinity()}
-	want.PrefillTime = x.server.Rates.PrefillTime(x.modelName(), want.SharedTokens)
+	choice := x.server.Rollouts.Choose(group, rollout.Request{ID: x.metadata.ID, Session: x.metadata.Session, Route: x.route.Name})
+	req := place.Request{Domain: x.server.Domain, Tried: x.tried, SharedTokens: x.metadata.SharedTokens(), Affinity: x.affinity()}
+	req.PrefillTime = x.server.Rates.PrefillTime(x.modelName(), req.SharedTokens)
 	opensIn := time.Duration(0) // when the first of the endpoints at their limits accepts a request
 	if x.server.Limits.Any() {
-		want.Closed = x.atLimit(choice, &opensIn)
+		req.Closed = x.atLimit(choice, &opensIn)
 	}
-	ranked := x.server.Board.Rank(choice.Preferred, want)
+	ranked := x.server.Board.Rank(choice.Preferred, req)
 	if len(ranked) == 0 || ranked[0].Standing.Ejected {
-		ranked = append(ranked, x.server.Board.Rank(choice.Fallback, want)...)
+		ranked = append(ranked, x.server.Board.Rank(choice.Fallback, req)...)
 	}
 	if len(ranked) == 0 {
-		ranked = x.server.Board.Rank(x.recentlyLapsed(choice.LastResort), want)
+		ranked = x.server.Board.Rank(x.recentlyLapsed(choice.LastResort), req)
 	}
 	if len(ranked) == 0 {
 		if opensIn > 0 {
@@ -51,10 +51,10 @@
 
 // atLimit returns a filter for endpoints that have no room for the request within their limits,
 // and records in opensIn when the first of them has. If all endpoints announce a limit, no
-// request leaves room to others: those that do would hardly be served at all.
+// request leaves headroom: requests that do would hardly be served at all.
 func (x *exchange) atLimit(choice rollout.Choice, opensIn *time.Duration) func(fleet.Endpoint) bool {
 	limits := x.server.Limits
-	x.headroom = limits.Headroom(x.target(), x.server.Rates.PrefillTime(x.modelName(), x.facts.Usage.Prompt))
+	x.headroom = limits.Headroom(x.target(), x.server.Rates.PrefillTime(x.modelName(), x.metadata.Usage.Prompt))
 	unlimited := func(ep fleet.Endpoint) bool { return limits.Limit(ep) == 0 }
 	if !slices.ContainsFunc(choice.Preferred, unlimited) && !slices.ContainsFunc(choice.Fallback, unlimited) {
 		x.headroom = 0
@@ -68,7 +68,7 @@
 	}
 }
 
-// recentlyLapsed returns the endpoints whose registration ended less than LapsedFor ago.
+// recentlyLapsed returns the endpoints whose registration ended less than LapsedGrace ago.
 func (x *exchange) recentlyLapsed(all []fleet.Lapsed) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	now := x.server.Clock.Now()
@@ -83,7 +83,7 @@
 // affinity returns a hash that is equal for requests with the same shared prompt
 // and model.
 func (x *exchange) affinity() uint64 {
-	shared := x.facts.SharedPrompt()
+	shared := x.metadata.SharedPrompt()
 	if len(shared) == 0 {
 		return 0
 	}
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -54,8 +54,8 @@
 // codeLimited is the code of refusals while all endpoints are at their announced limits.
 const codeLimited = "endpoints_limited"
 
-func refuseLimited(again time.Duration) *refusal {
-	return &refusal{http.StatusServiceUnavailable, codeLimited, again}
+func refuseLimited(retryAfter time.Duration) *refusal {
+	return &refusal{http.StatusServiceUnavailable, codeLimited, retryAfter}
 }
 
 func (r *refusal) limited() bool { return r != nil && r.code == codeLimited }
--- a/ingress/report.go
+++ b/ingress/report.go
@@ -66,7 +66,7 @@
 		s.metrics.refusal(x.outcome)
 	}
 	attrs := make([]slog.Attr, 0, 16)
-	attrs = append(attrs, slog.String("id", x.facts.ID), slog.Int("status", x.status), slog.String("outcome", x.outcome),
+	attrs = append(attrs, slog.String("id", x.metadata.ID), slog.Int("status", x.status), slog.String("outcome", x.outcome),
 		slog.Int64("ms", took.Milliseconds()), slog.Int64("revision", int64(x.view.Revision)))
 	if age, ok := s.Fleet.Age(); ok {
 		attrs = append(attrs, slog.Int64("age_ms", age.Milliseconds()))
@@ -83,8 +83,8 @@
 	if x.fingerprint != 0 {
 		attrs = append(attrs, slog.String("fingerprint", x.fingerprint.String()))
 	}
-	if x.facts.Usage.Prompt > 0 {
-		attrs = append(attrs, slog.Int("prompt_tokens", x.facts.Usage.Prompt))
+	if x.metadata.Usage.Prompt > 0 {
+		attrs = append(attrs, slog.Int("prompt_tokens", x.metadata.Usage.Prompt))
 	}
 	if since, ok := s.Gate.StopElapsed(); ok {
 		attrs = append(attrs, slog.Int64("stopping_ms", since.Milliseconds()))
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -95,7 +95,7 @@
 	// Bound before any wait, so that the end of a stop ends the waits too.
 	ctx, unbind := s.Gate.BindContext(r.Context())
 	defer unbind()
-	x := &exchange{server: s, w: w, r: r, received: s.Clock.Now(), facts: s.HeaderCodec.Request(r.Header)}
+	x := &exchange{server: s, w: w, r: r, received: s.Clock.Now(), metadata: s.HeaderCodec.Request(r.Header)}
 	defer x.logRequest()
 	if ref := x.admit(ctx); ref != nil {
 		x.refuse(ref)
@@ -163,14 +163,14 @@
 	if !s.Gate.Admits(x.timeLimit()) {
 		return refuseStopping
 	}
-	x.customer = x.view.Customer(x.facts.Key)
+	x.customer = x.view.Customer(x.metadata.Key)
 	if x.customer == nil && !x.route.Public && x.view.HasCustomers() {
 		if s.stale() {
 			return refuseStale
 		}
 		return refuseUnknownKey
 	}
-	if x.facts.ID == "" {
+	if x.metadata.ID == "" {
 		return refuseNoID
 	}
 	x.deadline = x.received.Add(x.timeLimit())
@@ -201,8 +201,8 @@
 	if timeLimit <= 0 {
 		timeLimit = defaultRouteTimeout
 	}
-	if x.facts.Remaining > 0 {
-		timeLimit = min(timeLimit, x.facts.Remaining)
+	if x.metadata.Remaining > 0 {
+		timeLimit = min(timeLimit, x.metadata.Remaining)
 	}
 	return timeLimit
 }
--- a/ingress/sessions_test.go
+++ b/ingress/sessions_test.go
@@ -23,16 +23,16 @@
 	}
 }
 
-// sessionKeptAt returns when the only session that the entry reports was last active.
-func (w *testEnv) sessionKeptAt(is *is.I) time.Time {
+// sessionLastActive returns when the only session that the entry reports was last active.
+func (w *testEnv) sessionLastActive(is *is.I) time.Time {
 	is.Helper()
-	_, _, sessions := w.orders.Snapshot()
+	_, _, sessions := w.rolloutController.Snapshot()
 	is.Equal(len(sessions), 1)
 	return time.Now().Add(-sessions[0].Ago)
 }
 
 // Guards against a session changing its version in the first half of a roll-out. A
-// stream lasts longer than a session is kept, and the session's next request comes
+// stream lasts longer than the session lifetime, and the session's next request comes
 // shortly after its end. It went to the new version because the session counted as
 // active at the stream's first event, not until its end.
 func TestSessionIsActiveUntilItsStreamEnds(t *testing.T) {
@@ -46,9 +46,9 @@
 	defer resp.Body.Close()
 	events := bufio.NewScanner(resp.Body)
 	is.True(events.Scan())
-	keptAtFirstEvent := w.sessionKeptAt(is)
+	activeAtFirstEvent := w.sessionLastActive(is)
 	for events.Scan() {
 	}
 	is.NoErr(events.Err())
-	is.True(w.sessionKeptAt(is).Sub(keptAtFirstEvent) > pause)
+	is.True(w.sessionLastActive(is).Sub(activeAtFirstEvent) > pause)
 }
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -28,7 +28,7 @@
 	w.gate.Begin(drain.Times{AcceptAllFor: 2 * time.Second, ServeAtLeast: 3 * time.Second, End: 20 * time.Second})
 	is.True(!w.server.Ready())
 	long, short := []string{"X-Deadline-Remaining", "60000"}, []string{"X-Deadline-Remaining", "2000"}
-	w.do(http.MethodPost, "/resume/stream", "body", long...).wholeStream(is) // its route allows 10 s
+	w.do(http.MethodPost, "/resume/stream", "body", long...).assertCompleteStream(is) // its route allows 10 s
 	refused := func(path string, header ...string) {
 		t.Helper()
 		before := len(w.runs())
@@ -39,12 +39,12 @@
 		is.True(a.last)
 		is.Equal(len(w.runs()), before)
 	}
-	w.stop.Advance(12 * time.Second)
+	w.gateClock.Advance(12 * time.Second)
 	refused("/resume/stream", long...)
-	w.do(http.MethodPost, "/post/x", "body", long...).whole(is) // its route allows 5 s
-	w.stop.Advance(5 * time.Second)
+	w.do(http.MethodPost, "/post/x", "body", long...).assertComplete(is) // its route allows 5 s
+	w.gateClock.Advance(5 * time.Second)
 	refused("/post/x", long...)
-	w.do(http.MethodPost, "/post/x", "body", short...).whole(is)
+	w.do(http.MethodPost, "/post/x", "body", short...).assertComplete(is)
 	w.gate.Close()
 	refused("/post/x", short...)
 }
@@ -78,7 +78,7 @@
 	_, err = io.ReadAll(resp.Body)
 	is.True(err != nil) // it does not look complete
 	waitFor(t, func() bool { return w.gate.InFlight() == 0 })
-	w.stop.Advance(time.Second)
+	w.gateClock.Advance(time.Second)
 	<-drained
 	is.Equal(strings.Count(w.logs.String(), `"outcome":"cut_by_stop"`), 2)
 }
@@ -106,7 +106,7 @@
 		defer ended()
 		w.gate.Drain(drain.Times{}, func() {})
 	}()
-	if err := w.stop.BlockUntilContext(waits, 1); err != nil && w.gate.InFlight() > 0 {
+	if err := w.gateClock.BlockUntilContext(waits, 1); err != nil && w.gate.InFlight() > 0 {
 		w.t.Fatal(err)
 	}
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -21,10 +21,10 @@
 // event boundary, and another endpoint can resume from there.
 func (x *exchange) runStream(ctx context.Context) {
 	x.model = x.server.EscalationPolicy.First(len(x.route.Models))
-	lastID := x.facts.ResumeAfter
+	lastID := x.metadata.ResumeAfter
 	for {
 		resume := ""
-		if lastID != x.facts.ResumeAfter {
+		if lastID != x.metadata.ResumeAfter {
 			resume = lastID
 		}
 		c, ref, err := x.send(ctx, resume)
@@ -92,13 +92,13 @@
 	if x.started || x.modelName() == "" {
 		return false
 	}
-	ladder := x.server.EscalationPolicy
-	next, ok := ladder.Next(len(x.route.Models), x.model, c.head.Confidence)
+	policy := x.server.EscalationPolicy
+	next, ok := policy.Next(len(x.route.Models), x.model, c.head.Confidence)
 	if !ok {
 		return false
 	}
-	outlook, ref := x.outlook(next)
-	verdict := ladder.Decide(c.head.Confidence, outlook)
+	estimate, ref := x.estimate(next)
+	verdict := policy.Decide(c.head.Confidence, estimate)
 	if verdict == cascade.Escalate && ref.limited() {
 		verdict = cascade.EnginesBusy
 	}
@@ -120,20 +120,20 @@
 	return true
 }
 
-// outlook estimates how long another of the route's models would take to answer. It
+// estimate predicts how long another of the route's models would take to answer. It
 // returns a refusal if no endpoint is available for it.
-func (x *exchange) outlook(model int) (cascade.Estimate, *refusal) {
-	o := cascade.Estimate{Elapsed: x.server.Clock.Since(x.received), Objective: x.route.Objective}
+func (x *exchange) estimate(model int) (cascade.Estimate, *refusal) {
+	e := cascade.Estimate{Elapsed: x.server.Clock.Since(x.received), Objective: x.route.Objective}
 	previous := x.model
 	x.model = model
 	_, best, ref := x.pick()
 	if ref == nil {
-		o.Wait = max(best.Standing.Wait, x.server.Board.MeanWait(x.target()))
-		o.Utilization = x.server.Board.Utilization(x.target())
-		o.First = x.server.Rates.TimeToFirstEvent(x.modelName(), x.facts.Usage.Prompt)
+		e.Wait = max(best.Standing.Wait, x.server.Board.MeanWait(x.target()))
+		e.Utilization = x.server.Board.Utilization(x.target())
+		e.First = x.server.Rates.TimeToFirstEvent(x.modelName(), x.metadata.Usage.Prompt)
 	}
 	x.model = previous
-	return o, ref
+	return e, ref
 }
 
 // relayEvents forwards the events until the stream ends.
@@ -187,7 +187,7 @@
 	if a.events == paceEvents {
 		x.observePace(c)
 	}
-	x.server.Rollouts.RecordSession(x.facts.Session, c.group, c.endpoint.Version)
+	x.server.Rollouts.RecordSession(x.metadata.Session, c.group, c.endpoint.Version)
 	c.ticket.DataReceived()
 	c.watch.eventReceived()
 }
--- a/ingress/trial.go
+++ b/ingress/trial.go
@@ -47,37 +47,37 @@
 	}
 	x.copied = true
 	x.runs++
-	d := call.ForwardOptions{Endpoint: trial.Endpoint.Name, Remaining: min(x.remaining(), maxTrialDuration), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
+	opts := call.ForwardOptions{Endpoint: trial.Endpoint.Name, Remaining: min(x.remaining(), maxTrialDuration), Model: x.trialModel(), Urgency: trialUrgency, SetUrgency: true}
 	if x.customer != nil {
-		d.Customer = x.customer.Name
+		opts.Customer = x.customer.Name
 	}
 	req := &upstream.Request{Address: trial.Endpoint.Address, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: s.HeaderCodec.Forward(x.r.Header, d), Body: x.body, HasBody: x.hasBody}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), d.Remaining)
+		Header: s.HeaderCodec.Forward(x.r.Header, opts), Body: x.body, HasBody: x.hasBody}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), opts.Remaining)
 	context.AfterFunc(x.r.Context(), func() {
 		if !x.answered.Load() {
 			cancel()
 		}
 	})
-	id, fp := x.facts.ID, x.fingerprint
+	id, fp := x.metadata.ID, x.fingerprint
 	go func() {
 		defer cancel()
 		s.runCopy(ctx, id, fp, g, trial, req)
 	}()
 }
 
-// mayCopy reports whether the request qualifies as a copy: it may be repeated, an
+// mayCopy reports whether a copy of the request may be sent: it may be repeated, an
 // attempt remains in case of a failure, and its answer keeps an endpoint busy. A
 // stopping process sends no copies, as they would end with it. A request that may
 // have crashed an endpoint is not copied either.
 func (x *exchange) mayCopy() bool {
-	return !x.copied && !x.suspect() && !x.server.Gate.Stopping() && x.route.MayRepeat() && x.runs+2 < x.route.MaxAttempts && x.facts.ResumeAfter == "" &&
-		x.facts.Usage.Output >= minTrialOutput && x.server.Rates.PrefillTime(x.trialModel(), x.facts.Usage.Prompt) <= maxTrialPromptTime
+	return !x.copied && !x.suspect() && !x.server.Gate.Stopping() && x.route.MayRepeat() && x.runs+2 < x.route.MaxAttempts && x.metadata.ResumeAfter == "" &&
+		x.metadata.Usage.Output >= minTrialOutput && x.server.Rates.PrefillTime(x.trialModel(), x.metadata.Usage.Prompt) <= maxTrialPromptTime
 }
 
 // trialModel returns the largest of the route's models, which runs the longest.
 func (x *exchange) trialModel() string {
-	if len(x.route.Models) == 0 || x.facts.Model != call.AnyModel {
+	if len(x.route.Models) == 0 || x.metadata.Model != call.AnyModel {
 		return ""
 	}
 	return x.route.Models[len(x.route.Models)-1]
--- a/ingress/trial_test.go
+++ b/ingress/trial_test.go
@@ -26,7 +26,7 @@
 	w.put("op/rollout/"+service, []byte(`{"service":"`+service+`","target":"v2","duration_s":1000}`))
 	w.sync()
 	order := w.fleet.View().Group(service).Rollout.Ordered
-	w.orders.Merge([]rollout.OrderState{{Service: service, Ordered: order, Age: 200 * time.Second}}, nil, nil)
+	w.rolloutController.Merge([]rollout.OrderState{{Service: service, Ordered: order, Age: 200 * time.Second}}, nil, nil)
 	return w
 }
 
@@ -69,7 +69,7 @@
 func TestACopyGoesToTheEndpointOnTrial(t *testing.T) {
 	is := is.New(t)
 	w := newTrialEnv(t)
-	w.do(http.MethodPost, "/sized/stream", "body", trialHeaders...).wholeStream(is)
+	w.do(http.MethodPost, "/sized/stream", "body", trialHeaders...).assertCompleteStream(is)
 	copies := awaitRuns(w.engines[1], 1, func(r platformtest.Run) bool { return r.Done })
 	is.Equal(len(copies), 1)
 	is.Equal(copies[0].Model, largeM) // which runs the longest
@@ -82,8 +82,8 @@
 func TestWhatMayNotBeRepeatedIsNotCopied(t *testing.T) {
 	is := is.New(t)
 	w := newTrialEnv(t)
-	w.do(http.MethodPost, "/once/stream", "body", trialHeaders...).wholeStream(is)
-	w.do(http.MethodPost, "/post/x", "body", trialHeaders...).whole(is)
+	w.do(http.MethodPost, "/once/stream", "body", trialHeaders...).assertCompleteStream(is)
+	w.do(http.MethodPost, "/post/x", "body", trialHeaders...).assertComplete(is)
 	is.Equal(len(w.engines[0].Runs()), 2)
 	is.Equal(len(w.engines[1].Runs()), 0)
 }
@@ -94,7 +94,7 @@
 	is := is.New(t)
 	w := newTrialEnv(t)
 	w.gate.Begin(drain.Times{AcceptAllFor: time.Second, ServeAtLeast: time.Second, End: time.Second})
-	w.do(http.MethodPost, "/sized/stream", "body", trialHeaders...).wholeStream(is)
+	w.do(http.MethodPost, "/sized/stream", "body", trialHeaders...).assertCompleteStream(is)
 	is.Equal(len(w.engines[1].Runs()), 0)
 }
 
