--- a/agent/agent.go
+++ b/agent/agent.go
@@ -53,9 +53,9 @@
 // Module is the fx module of the entry daemon. fx runs stop hooks in reverse
 // order, so serve is invoked last: the loops that it needs still run while it
 // drains.
-func Module(set *settings.Entry) fx.Option {
+func Module(s *settings.Entry) fx.Option {
 	return fx.Options(
-		fx.Supply(set),
+		fx.Supply(s),
 		fx.Provide(
 			func() incarnation { return incarnation(time.Now().UnixNano()) },
 			clockwork.NewRealClock,
@@ -79,7 +79,7 @@
 			newGateway,
 		),
 		fx.Invoke(runWatcher, runPoller, runGuard, runLedger, runClaims, runOrders, runQuarantine, runGossip, runRatings, serve),
-		fx.StopTimeout(stopTimeout(set)),
+		fx.StopTimeout(stopTimeout(s)),
 		fx.NopLogger,
 	)
 }
@@ -119,8 +119,8 @@
 	return quarantine.New(quarantine.Deps{Clock: clock, Log: log.With("part", "quarantine")})
 }
 
-// newLimits tracks limits without sharing them among entries: each rate-limited back
-// end is used by one entry only.
+// newLimits returns rate limits that are not divided among entries: only one entry
+// uses each rate-limited back end (gateway.Deps.HoldsLimit).
 func newLimits(s *settings.Entry, clock clockwork.Clock, log *slog.Logger) *ratelimit.Limits {
 	self := []fleet.Entry{{Instance: s.Instance, Domain: s.Domain}}
 	return ratelimit.New(ratelimit.Deps{Instance: s.Instance, Domain: s.Domain, Entries: func() []fleet.Entry { return self }, Clock: clock, Log: log.With("part", "ratelimit")})
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -17,6 +17,6 @@
 func (l limitTopic) Fill(d *peerpb.Digest, _ bool) { d.Limits = l.limits.Message() }
 
 // Merge implements peers.Topic.
-func (l limitTopic) Merge(_ context.Context, d peers.Received) (news bool) {
+func (l limitTopic) Merge(_ context.Context, d peers.Received) (changed bool) {
 	return l.limits.MergeMessage(d.Limits)
 }
--- a/agent/loops.go
+++ b/agent/loops.go
@@ -46,7 +46,7 @@
 }
 
 func runQuarantine(lc fx.Lifecycle, q *quarantine.Table, g *peers.Gossip) {
-	background.Run(lc, func(ctx context.Context) { suspectTopic{q}.forwardNews(ctx, g.TriggerSpread) }, nil)
+	background.Run(lc, func(ctx context.Context) { suspectTopic{q}.forwardUpdates(ctx, g.TriggerSpread) }, nil)
 	background.Run(lc, background.Every(quarantine.Interval, q.Tick), nil)
 }
 
@@ -95,14 +95,14 @@
 	if !s.ManageEngines {
 		return
 	}
-	holder := func() bool { return members.IsResponsible("orders", 1) }
-	k := orders.New(d, holder, w.Table, t, s.Domain, clock, log.With("part", "orders"))
-	background.Run(lc, background.Every(orders.Interval, k.Reconcile), resign(d))
+	eligible := func() bool { return members.IsResponsible("orders", 1) }
+	r := orders.New(d, eligible, w.Table, t, s.Domain, clock, log.With("part", "orders"))
+	background.Run(lc, background.Every(orders.Interval, r.Reconcile), resign(d))
 }
 
 // resign gives up d at a planned stop. Its time-out keeps an unresponsive KV from
-// using up the stop: the billing records are written later, and the lease expires
-// by itself.
+// using up the stop's time: the billing records are written later, and the lease
+// expires by itself.
 func resign(d *duty.Duty) func(context.Context) {
 	return func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, resignTimeout)
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -31,7 +31,7 @@
 // server has the components that the HTTP servers expose.
 type server struct {
 	fx.In
-	Set       *settings.Entry
+	Settings  *settings.Entry
 	Gateway   *gateway.Gateway
 	Gate      *drain.Gate
 	Watcher   *configwatch.Watcher
@@ -66,7 +66,7 @@
 }
 
 func (s server) dump() Dump {
-	return Dump{Instance: s.Set.Instance, Domain: s.Set.Domain, Draining: s.Gate.Stopping(), InFlight: s.Gate.InFlight(),
+	return Dump{Instance: s.Settings.Instance, Domain: s.Settings.Domain, Draining: s.Gate.Stopping(), InFlight: s.Gate.InFlight(),
 		Config: s.Watcher.State(), Peers: s.Members.State(), Guard: s.Guard.State(), Ledger: s.Ledger.State(),
 		ClaimsPending: s.Claims.Pending(), Cascades: s.Planner.State(), Endpoints: s.Endpoints.Snapshot(), Quarantine: s.Suspects.State(), Limits: s.Limits.State()}
 }
@@ -111,10 +111,10 @@
 // listeners returns one listener for all routes or, if InternalListen is set, one
 // for callers and one for internal routes. The callers' listener comes first.
 func (s server) listeners() []*listen.Listener {
-	if s.Set.InternalListen == "" {
-		return []*listen.Listener{newListener("listen", s.Set.Listen, s.callerRoutes, s.internalRoutes)}
+	if s.Settings.InternalListen == "" {
+		return []*listen.Listener{newListener("listen", s.Settings.Listen, s.callerRoutes, s.internalRoutes)}
 	}
-	return []*listen.Listener{newListener("listen", s.Set.Listen, s.callerRoutes), newListener("internal_listen", s.Set.InternalListen, s.internalRoutes)}
+	return []*listen.Listener{newListener("listen", s.Settings.Listen, s.callerRoutes), newListener("internal_listen", s.Settings.InternalListen, s.internalRoutes)}
 }
 
 // serve starts the listeners, and drains them at a planned stop.
@@ -152,10 +152,10 @@
 
 func (s *peerServer) Config(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigResponse, error) {
 	rev, delta, stored := s.Watcher.Since(kv.Revision(r.Have))
-	return &peerpb.ConfigResponse{Revision: int64(rev), Delta: delta, Document: stored, Domain: s.Set.Domain, Instance: s.Set.Instance}, nil
+	return &peerpb.ConfigResponse{Revision: int64(rev), Delta: delta, Document: stored, Domain: s.Settings.Domain, Instance: s.Settings.Instance}, nil
 }
 
 func (s *peerServer) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusResponse, error) {
-	return &peerpb.StatusResponse{Instance: s.Set.Instance, Domain: s.Set.Domain, ConfigRevision: int64(s.Watcher.Revision()),
+	return &peerpb.StatusResponse{Instance: s.Settings.Instance, Domain: s.Settings.Domain, ConfigRevision: int64(s.Watcher.Revision()),
 		Ready: s.ready(), InFlight: s.Gate.InFlight(), LivePeers: int64(len(s.Members.Live())), Watching: s.Watcher.State().Watching}, nil
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -40,7 +40,7 @@
 	s.Members.Leave()
 	s.Gossip.TriggerSpread()
 	log.Info("server: draining.", "in_flight", s.Gate.InFlight())
-	s.Gate.Drain(drainTimes(s.Set), ls[0].CloseIdle)
+	s.Gate.Drain(drainTimes(s.Settings), ls[0].CloseIdle)
 	inFlight, busy := s.Gate.InFlight(), 0
 	for _, l := range ls {
 		busy += l.Close(closeTimeout)
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -115,8 +115,8 @@
 
 // Guards against requests left unbilled by a planned stop: the KV accepts
 // connections but does not respond while the entry resigns its duty and releases
-// its last claims. Without time-outs of their own, these take the whole stop, and the
-// billing records, which come later, are not written.
+// its last claims. Without time-outs of their own, these use up the stop's time, and
+// the billing records, which come later, are not written.
 func TestPlannedStopBoundsStepsDuringOutage(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -185,13 +185,13 @@
 type settledRecords chan ledger.Record
 
 func (settledRecords) Open(ledger.Record)                          {}
-func (b settledRecords) Settle(_ context.Context, r ledger.Record) { b <- r }
+func (s settledRecords) Settle(_ context.Context, r ledger.Record) { s <- r }
 func (settledRecords) Drop(string)                                 {}
 
 // staticTable is a configuration that does not change.
 type staticTable struct{ t *route.Table }
 
-func (o staticTable) Table() *route.Table   { return o.t }
+func (s staticTable) Table() *route.Table   { return s.t }
 func (staticTable) Refresh(context.Context) {}
 
 // Guards against a request left unbilled, or a stop that lasts until the process is
@@ -244,7 +244,7 @@
 func testServer(clock clockwork.Clock, drainTimeout time.Duration, d gateway.Deps) server {
 	members := peers.NewTable(&peerpb.Member{Instance: "e1", Domain: "fd-1", Address: "http://e1", Life: 1}, clock, nil)
 	d.Gate = drain.NewGate(clock)
-	return server{Set: &settings.Entry{DrainTimeout: drainTimeout}, Gate: d.Gate, Log: d.Log, Members: members,
+	return server{Settings: &settings.Entry{DrainTimeout: drainTimeout}, Gate: d.Gate, Log: d.Log, Members: members,
 		Gossip:  peers.NewGossip(members, func() []string { return nil }, nil, d.Log),
 		Watcher: configwatch.New(memkv.New(clock), clock, d.Log),
 		Gateway: gateway.New(d)}
--- a/agent/suspects.go
+++ b/agent/suspects.go
@@ -16,19 +16,19 @@
 // Fill implements peers.Topic.
 func (s suspectTopic) Fill(d *peerpb.Digest, _ bool) { d.Suspects = s.table.Message() }
 
-// Merge implements peers.Topic. It always returns false, as forwardNews starts the
-// rounds for new suspects.
-func (s suspectTopic) Merge(_ context.Context, d peers.Received) (news bool) {
+// Merge implements peers.Topic. It always returns false, as forwardUpdates
+// propagates new suspects.
+func (s suspectTopic) Merge(_ context.Context, d peers.Received) (changed bool) {
 	s.table.MergeMessage(d.Suspects)
 	return false
 }
 
-// forwardNews starts a round of gossip whenever the table has news to share at once.
-func (s suspectTopic) forwardNews(ctx context.Context, rumour func()) {
+// forwardUpdates triggers a spread whenever the table has updates to share at once.
+func (s suspectTopic) forwardUpdates(ctx context.Context, triggerSpread func()) {
 	for {
 		select {
 		case <-s.table.Updates():
-			rumour()
+			triggerSpread()
 		case <-ctx.Done():
 			return
 		}
