--- a/configwatch/topic.go
+++ b/configwatch/topic.go
@@ -37,7 +37,7 @@
 }
 
 // Merge implements peers.Topic. It always returns false, because the watcher
-// itself announces a pulled revision (Watcher.OnNews).
+// itself announces a pulled revision (Watcher.OnChange).
 func (t *Topic) Merge(ctx context.Context, d peers.Received) bool {
 	have := int64(t.w.Revision())
 	if d.ConfigRevision > have && d.From != nil {
--- a/configwatch/watcher.go
+++ b/configwatch/watcher.go
@@ -92,7 +92,7 @@
 }
 
 // New returns a watcher that has no table yet and always watches the KV, unless
-// HoldsWhen is given.
+// WatchWhen is given.
 func New(c kv.Client, clock clockwork.Clock, log *slog.Logger, opts ...Option) *Watcher {
 	w := &Watcher{kv: c, clock: clock, log: log, shouldWatch: func() bool { return true }, onChange: func() {}, onKey: func(string) {}}
 	for _, o := range opts {
@@ -134,11 +134,11 @@
 	if c == nil || have >= c.table.Revision {
 		return have, nil, nil
 	}
-	for _, o := range c.previous {
-		if o.rev != have {
+	for _, p := range c.previous {
+		if p.rev != have {
 			continue
 		}
-		if d, err := config.Delta(o.plain, c.plain); err == nil && len(d) < len(c.stored) {
+		if d, err := config.Delta(p.plain, c.plain); err == nil && len(d) < len(c.stored) {
 			return c.table.Revision, d, nil
 		}
 	}
