--- a/peers/table.go
+++ b/peers/table.go
@@ -85,7 +85,7 @@
 	t.mu.Unlock()
 }
 
-// newer reports whether a is a later record of the same member than b.
+// newer reports whether a is a later record than b of the same member.
 func newer(a, b *peerpb.Member) bool {
 	if a.Life != b.Life {
 		return a.Life > b.Life
@@ -136,14 +136,14 @@
 
 // Alive reports whether the given incarnation of an instance is still running
 // as far as this entry knows. Unknown instances are not alive.
-func (t *Table) Alive(instance string, life int64) bool {
+func (t *Table) Alive(instance string, incarnation int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if instance == t.self.Instance {
-		return life == t.self.Life
+		return incarnation == t.self.Life
 	}
 	m, ok := t.members[instance]
-	return ok && m.pb.Life == life && t.clock.Now().Sub(m.seen) <= deadAfter
+	return ok && m.pb.Life == incarnation && t.clock.Now().Sub(m.seen) <= deadAfter
 }
 
 // DigestMembers returns the members to list in a digest: every live member of
@@ -228,10 +228,10 @@
 	return x ^ x>>31
 }
 
-// IsResponsible reports whether this entry is among the first n live members of its
-// domain in rendezvous order for subject. It needs no consensus: when views
-// differ, more than n entries may hold the subject, and after a holder dies
-// fewer do for at most deadAfter.
+// IsResponsible reports whether this entry is among the first n live members of
+// its domain in rendezvous order for subject. It needs no consensus: when views
+// differ, more than n entries may be responsible, and after one of them dies
+// fewer are for at most deadAfter.
 func (t *Table) IsResponsible(subject string, n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
