--- a/rollout/badrates_test.go
+++ b/rollout/badrates_test.go
@@ -51,20 +51,20 @@
 	failed bool
 }
 
-// simulateRollout runs a roll-out of v2 for the order's duration, with a request every
+// simulateRollout runs a roll-out of v2 for the order's duration, with one request per
 // interval, answered by answer.
-func simulateRollout(t *testing.T, seed uint64, each time.Duration, route func(r *rand.Rand) string, answer func(r *rand.Rand, version, route string) simulatedAnswer) rolloutOutcome {
+func simulateRollout(t *testing.T, seed uint64, interval time.Duration, route func(r *rand.Rand) string, answer func(r *rand.Rand, version, route string) simulatedAnswer) rolloutOutcome {
 	x := newFixture(t, 1)
 	e := x.entries[0]
 	r := rand.New(rand.NewPCG(seed, 1))
 	out := rolloutOutcome{}
 	nextTick := x.clock.Now()
-	for i := range int(duration / each) {
-		x.clock.Advance(each)
+	for i := range int(duration / interval) {
+		x.clock.Advance(interval)
 		g := e.group()
 		q := Request{ID: fmt.Sprint(seed, "-", i), Route: route(r)}
-		first := e.Choose(g, q).Preferred
-		ep := first[r.IntN(len(first))]
+		preferred := e.Choose(g, q).Preferred
+		ep := preferred[r.IntN(len(preferred))]
 		a := answer(r, ep.Version, q.Route)
 		out.requests++
 		if ep.Version == "v2" {
@@ -136,7 +136,8 @@
 	return over
 }
 
-// Guards against a version that fails a tenth of its answers, on one route or all, getting more requests than operators allow.
+// Guards against a version that fails a tenth to a fifth of its answers, on one route or all,
+// getting more requests than operators allow.
 func TestAVersionThatFailsFewOfItsAnswersKeepsTheBoundOnExposure(t *testing.T) {
 	for _, newer := range []failureRates{{"other": 0.10}, {"other": 0.14}, {"other": 0.2}, {"main": 0.1, "other": 0.1}, {"main": 0.14, "other": 0.14}} {
 		t.Run(fmt.Sprint(newer), func(t *testing.T) {
@@ -147,7 +148,8 @@
 	}
 }
 
-// Guards against the same for versions that fail more on one route, or a tenth on all.
+// As above, without the version that fails a tenth on one route only: that case is over the
+// bound (see KNOWN-RED.txt).
 func TestHigherFailureRatesKeepBoundOnExposure(t *testing.T) {
 	for _, newer := range []failureRates{{"other": 0.14}, {"other": 0.2}, {"main": 0.1, "other": 0.1}, {"main": 0.14, "other": 0.14}} {
 		t.Run(fmt.Sprint(newer), func(t *testing.T) {
--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -9,8 +9,8 @@
 
 // Choice holds the endpoints that may get a request.
 type Choice struct {
-	// Preferred are the endpoints of the version selected for the request, Fallback those used if
-	// none of Preferred can take it.
+	// Preferred are the endpoints of the version selected for the request, Fallback those
+	// used if none of Preferred can take it.
 	Preferred, Fallback []fleet.Endpoint
 	// LastResort are endpoints with a lapsed registration, tried if neither can. A halted
 	// or rolled-back version gets none of these either: an endpoint that is partitioned
@@ -30,7 +30,7 @@
 	r := g.Rollout
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.strataLocked(g.Service.Name).note(q)
+	c.strataLocked(g.Service.Name).count(q)
 	if r == nil {
 		return Choice{Preferred: g.Ready, LastResort: g.Lapsed}
 	}
@@ -205,9 +205,9 @@
 	return older, newer
 }
 
-// canaryEndpoints returns the new endpoints that serve the canary share: as many as it
-// keeps as busy as the old ones, but at least two. Endpoints under trial are left out if
-// there are enough others.
+// canaryEndpoints returns the new endpoints that serve the canary share: so many that each
+// has the load of an old one, but at least two. Endpoints under trial are left out if there
+// are enough others.
 func (c *Controller) canaryEndpoints(r *fleet.Rollout, newer []fleet.Endpoint, older int, share float64) []fleet.Endpoint {
 	n := canaryCount(older, share)
 	if n >= len(newer) {
@@ -220,8 +220,8 @@
 	return sorted[:n]
 }
 
-// RecordSession records a request of a session, if the session is among those that a roll-out moves
-// first and is not on the new version.
+// RecordSession notes the time of a session's request, if the session is among those that a
+// roll-out moves first and is not on the new version.
 func (c *Controller) RecordSession(session string, g *fleet.Group, version string) {
 	if session == "" || g.Rollout != nil && !isFinal(g.Rollout.State) && version == g.Rollout.Target {
 		return
@@ -232,5 +232,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sessions.note(hash, c.Clock.Now())
+	c.sessions.record(hash, c.Clock.Now())
 }
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -117,9 +117,9 @@
 }()
 
 // compareLocked counts the time of an answer if its endpoint is in one of the groups.
-func (c *Controller) compareLocked(t *tracker, u *baseline, a Answer) {
+func (c *Controller) compareLocked(t *tracker, b *baseline, a Answer) {
 	now := c.Clock.Now()
-	if a.plain() || a.Failed || a.Took <= 0 || !t.promotedAt.IsZero() || !u.known() ||
+	if a.plain() || a.Failed || a.Took <= 0 || !t.promotedAt.IsZero() || !b.known() ||
 		progress(now.Sub(t.seen), a.Group.Rollout.Duration) < comparisonFrom {
 		return
 	}
@@ -136,7 +136,7 @@
 	if !ok {
 		return
 	}
-	logTime := a.logTime(u)
+	logTime := a.logTime(b)
 	if kind == firstEvents {
 		logTime = clampLog(logTime, maxLogTime)
 	}
@@ -155,13 +155,13 @@
 // which shows how fast the engine generates; the mean also depends on how many prompts were
 // read in between. A first event is taken relative to the baseline, as routes differ. A
 // pause is not, as the baseline varies more by entry and moment than short pauses do.
-func (a Answer) logTime(u *baseline) float64 {
+func (a Answer) logTime(b *baseline) float64 {
 	took := relativeTime(a.net(), a.Expected)
 	switch {
 	case a.ShortPause > 0:
 		took = relativeTime(a.ShortPause, 0)
 	case !a.Pace:
-		took /= u.mean
+		took /= b.mean
 	}
 	return math.Log(took)
 }
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -87,7 +87,7 @@
 	order := &fleet.Rollout{Service: "s", Target: "v2", Duration: duration, Ordered: 5}
 	g := &fleet.Group{Ready: ready, Rollout: order}
 	older, newer := splitByVersion(ready, "v2")
-	first := sortForTrial(newer, order.Ordered)[:2]
+	canaries := sortForTrial(newer, order.Ordered)[:2]
 	older = sortForTrial(older, order.Ordered)
 	controls, others := older[:controlSize(len(older))], older[controlSize(len(older)):]
 	t := c.trackerLocked(order)
@@ -102,24 +102,24 @@
 		if l.crash && age > 4*time.Second && age < 6*time.Second {
 			busy *= 2.5
 		}
-		for range count(r, (oldPerSecond-newPerSecond)*step.Seconds()) {
+		for range randomCount(r, (oldPerSecond-newPerSecond)*step.Seconds()) {
 			answer(c, g, r, others[r.IntN(len(others))], busy, 1, 1)
 		}
-		for range count(r, newPerSecond*step.Seconds()) {
+		for range randomCount(r, newPerSecond*step.Seconds()) {
 			answer(c, g, r, controls[r.IntN(len(controls))], busy*l.canaryLoad(), 1, 1)
 		}
-		for range count(r, newPerSecond*step.Seconds()) {
+		for range randomCount(r, newPerSecond*step.Seconds()) {
 			at := r.IntN(2)
 			factor := 1.0
 			if (l.allSlow || r.IntN(2) == 0) && (!l.oneSlow || at == 0) {
 				factor = l.factor
 				bad++
 			}
-			answer(c, g, r, first[at], busy*l.canaryLoad(), factor, l.cold)
+			answer(c, g, r, canaries[at], busy*l.canaryLoad(), factor, l.cold)
 			requests++
 		}
 		if l.copies > 0 {
-			sent := count(r, l.copies*step.Seconds())
+			sent := randomCount(r, l.copies*step.Seconds())
 			t.copies += sent
 			bad += badShare * float64(sent)
 		}
@@ -133,7 +133,8 @@
 	return outcome{undecided: t.evidence.inDoubt(l.end()), requests: requests}
 }
 
-func count(r *rand.Rand, mean float64) int {
+// randomCount rounds mean up or down at random, so that the results average to it.
+func randomCount(r *rand.Rand, mean float64) int {
 	n := int(mean)
 	if r.Float64() < mean-float64(n) {
 		n++
@@ -185,10 +186,10 @@
 		{"8 times", load{factor: 8, cold: 1}, 58, seeds, 70, 0},
 		{"4 times, a crash", load{factor: 4, cold: 1, crash: true}, 57, seeds, 90, 0},
 	}
-	for _, emptier := range []float64{0.4, 0.25} {
+	for _, relativeLoad := range []float64{0.4, 0.25} {
 		for _, factor := range []float64{1, 1.3, 2, 3, 4, 5, 8} {
 			for _, allSlow := range []bool{false, true} {
-				rows = append(rows, lessLoadedRow(emptier, factor, allSlow))
+				rows = append(rows, lessLoadedRow(relativeLoad, factor, allSlow))
 			}
 		}
 	}
@@ -246,19 +247,19 @@
 func TestNoComparisonWithoutControlGroup(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
-	tell := func(group int, c Counts) {
+	set := func(group int, c Counts) {
 		for _, route := range comparedRoutes[pauses][group] {
 			e.update(Source{Route: route}, c, time.Time{})
 		}
 	}
-	tell(newGroup, Counts{Samples: 40, LogTime: 40 * logScale})
+	set(newGroup, Counts{Samples: 40, LogTime: 40 * logScale})
 	_, compared := e.slower()
 	is.True(!compared)
 	is.True(!e.maybeSlower(0.5))
-	tell(controlGroup, Counts{Samples: minHalfAnswers - 1})
+	set(controlGroup, Counts{Samples: minHalfAnswers - 1})
 	_, compared = e.slower()
 	is.True(!compared)
-	tell(controlGroup, Counts{Samples: minHalfAnswers})
+	set(controlGroup, Counts{Samples: minHalfAnswers})
 	c, compared := e.slower()
 	is.True(compared)
 	is.True(c.deviations > 0)
@@ -272,9 +273,9 @@
 func TestComparedSumsEqualRowTotals(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
-	told := []Counts{{Samples: 2, LogTime: 150}, {Samples: 1, LogTime: 90}, {Samples: 5, LogTime: 300}, {Samples: 5, LogTime: 300}}
+	updates := []Counts{{Samples: 2, LogTime: 150}, {Samples: 1, LogTime: 90}, {Samples: 5, LogTime: 300}, {Samples: 5, LogTime: 300}}
 	for _, entry := range []string{"i1", "i2"} {
-		for _, c := range told {
+		for _, c := range updates {
 			e.update(Source{Instance: entry, Route: comparedRoutes[pauses][newGroup][0]}, c, time.Time{})
 		}
 	}
--- a/rollout/controlgroup.go
+++ b/rollout/controlgroup.go
@@ -19,8 +19,8 @@
 	return canaryCount(older, canaryShare(older))
 }
 
-// canaryCount returns how many endpoints serve a share of the requests at the load of each
-// old endpoint: at least two, as a single one may be faulty.
+// canaryCount returns how many endpoints serve a share of the requests, so that each has the
+// load of an old one: at least two, as a single one may be faulty.
 func canaryCount(older int, share float64) int {
 	return max(2, int(share*float64(older)+0.999))
 }
@@ -40,24 +40,24 @@
 		return t.endpoints
 	}
 	older, newer := splitByVersion(g.Ready, g.Rollout.Target)
-	r := &endpointOrder{fleetGroup: g, older: sortForTrial(older, t.ordered), newer: sortForTrial(newer, t.ordered), index: map[fleet.EndpointID]int{}}
-	for _, eps := range [][]fleet.Endpoint{r.older, r.newer} {
+	o := &endpointOrder{fleetGroup: g, older: sortForTrial(older, t.ordered), newer: sortForTrial(newer, t.ordered), index: map[fleet.EndpointID]int{}}
+	for _, eps := range [][]fleet.Endpoint{o.older, o.newer} {
 		for i, ep := range eps {
-			r.index[ep.ID] = i
+			o.index[ep.ID] = i
 		}
 	}
-	t.endpoints = r
-	return r
+	t.endpoints = o
+	return o
 }
 
 // choose selects the control group's endpoints first for its requests, and the other old
 // endpoints first for the rest.
-func (r *endpointOrder) choose(inControl bool) Choice {
-	n := controlSize(len(r.older))
-	if n == len(r.older) {
-		return Choice{Preferred: r.older}
+func (o *endpointOrder) choose(inControl bool) Choice {
+	n := controlSize(len(o.older))
+	if n == len(o.older) {
+		return Choice{Preferred: o.older}
 	}
-	control, others := r.older[:n:n], r.older[n:]
+	control, others := o.older[:n:n], o.older[n:]
 	if inControl {
 		return Choice{Preferred: control, Fallback: others}
 	}
@@ -66,13 +66,13 @@
 
 // memberOf returns an endpoint's group in the comparison, if it has one, and the half of
 // that group.
-func (r *endpointOrder) memberOf(ep fleet.Endpoint) (group, half int, ok bool) {
-	at, ok := r.index[ep.ID]
+func (o *endpointOrder) memberOf(ep fleet.Endpoint) (group, half int, ok bool) {
+	at, ok := o.index[ep.ID]
 	switch {
 	case !ok:
 		return 0, 0, false
-	case ep.Version == r.fleetGroup.Rollout.Target:
+	case ep.Version == o.fleetGroup.Rollout.Target:
 		return newGroup, at % 2, true
 	}
-	return controlGroup, at % 2, at < controlSize(len(r.older))
+	return controlGroup, at % 2, at < controlSize(len(o.older))
 }
--- a/rollout/controlgroup_test.go
+++ b/rollout/controlgroup_test.go
@@ -16,9 +16,9 @@
 func chosen(e *entry, n int) (perEndpoint map[fleet.EndpointID]float64) {
 	perEndpoint = map[fleet.EndpointID]float64{}
 	for i := range n {
-		first := e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).Preferred
-		for _, ep := range first {
-			perEndpoint[ep.ID] += 1 / float64(len(first))
+		preferred := e.Choose(e.group(), Request{ID: fmt.Sprint(i)}).Preferred
+		for _, ep := range preferred {
+			perEndpoint[ep.ID] += 1 / float64(len(preferred))
 		}
 	}
 	return perEndpoint
@@ -68,9 +68,9 @@
 		is.Equal(controlSize(older), older)
 	}
 	is.Equal(controlSize(minForControlGroup), 2)
-	r := endpointOrder{older: make([]fleet.Endpoint, 3)}
-	is.Equal(len(r.choose(true).Preferred), 3)
-	is.Equal(len(r.choose(false).Preferred), 3)
+	o := endpointOrder{older: make([]fleet.Endpoint, 3)}
+	is.Equal(len(o.choose(true).Preferred), 3)
+	is.Equal(len(o.choose(false).Preferred), 3)
 }
 
 // After promotion or a halt nothing is compared, and there is no control group.
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -83,8 +83,8 @@
 }
 
 // hasMoreThan reports whether the counts have more samples than others of the same source.
-func (c Counts) hasMoreThan(than Counts) bool {
-	return c.Samples > than.Samples && c.Failed >= than.Failed && c.Slow >= than.Slow
+func (c Counts) hasMoreThan(other Counts) bool {
+	return c.Samples > other.Samples && c.Failed >= other.Failed && c.Slow >= other.Slow
 }
 
 func endpointBit(id fleet.EndpointID) uint64 { return 1 << (place.ShortID(id) % 64) }
@@ -195,8 +195,8 @@
 	return math.Max(0, statistic+float64(samples-bad)*t.stepGood+float64(bad)*t.stepBad)
 }
 
-// bad reports whether the version is to be halted, and by which route; alive is the
-// mask of its current endpoints.
+// bad reports whether the version is to be halted, and the route that shows it; alive is
+// the mask of its current endpoints.
 func (e *evidence) bad(alive uint64, now time.Time) (route string, bad bool) {
 	if e.failedTrial(bits.OnesCount64(alive)) {
 		return trialRoutes[0], true
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -16,7 +16,7 @@
 		Age     time.Duration
 		Halted  bool
 		// PromotedAgo is the time since the entry raised the share above the canary share, if
-		// HasMoved.
+		// Promoted.
 		PromotedAgo time.Duration
 		Promoted    bool
 	}
@@ -32,7 +32,7 @@
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var told []OrderState
+	var states []OrderState
 	var rows []Row
 	for service, t := range c.trackers {
 		g := v.Group(service)
@@ -42,27 +42,27 @@
 		if g.Rollout.State == fleet.RolloutRolledBack {
 			// An entry with a stale copy of the store treats the order as running, and this
 			// one may never have halted the version itself.
-			told = append(told, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
+			states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
 			continue
 		}
-		told = append(told, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
+		states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
 			Promoted: !t.promotedAt.IsZero(), PromotedAgo: c.Clock.Since(t.promotedAt)})
 		for s, n := range t.evidence.rows {
 			rows = append(rows, Row{s, n})
 		}
 	}
-	return told, rows, c.sessions.snapshot(c.Clock.Now())
+	return states, rows, c.sessions.snapshot(c.Clock.Now())
 }
 
 // Merge merges the state received from another entry.
-func (c *Controller) Merge(told []OrderState, rows []Row, active []Session) {
+func (c *Controller) Merge(states []OrderState, rows []Row, active []Session) {
 	v := c.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, u := range active {
-		c.sessions.note(u.Hash, c.Clock.Now().Add(-u.Ago))
+	for _, s := range active {
+		c.sessions.record(s.Hash, c.Clock.Now().Add(-s.Ago))
 	}
-	for _, o := range told {
+	for _, o := range states {
 		t := c.knownLocked(v, o.Service, o.Ordered)
 		if t == nil {
 			continue
@@ -83,7 +83,7 @@
 			continue
 		}
 		if t := c.knownLocked(v, row.Service, row.Ordered); t != nil && t.evidence.update(row.Source, row.Counts, c.Clock.Now()) {
-			c.judgeLocked(v.Group(row.Service), t)
+			c.haltIfBadLocked(v.Group(row.Service), t)
 		}
 	}
 }
--- a/rollout/latency.go
+++ b/rollout/latency.go
@@ -38,19 +38,19 @@
 	return float64(took) / float64(max(expected, time.Millisecond))
 }
 
-func (u *baseline) add(took, expected time.Duration) {
-	u.n++
-	gain := max(baselineGain, 1/float64(u.n))
-	u.mean += gain * (relativeTime(took, expected) - u.mean)
+func (b *baseline) add(took, expected time.Duration) {
+	b.n++
+	gain := max(baselineGain, 1/float64(b.n))
+	b.mean += gain * (relativeTime(took, expected) - b.mean)
 }
 
 // known reports whether enough answers were seen to establish the baseline.
-func (u *baseline) known() bool { return u.n >= baselineMinAnswers }
+func (b *baseline) known() bool { return b.n >= baselineMinAnswers }
 
 // slow reports whether an answer, without its queueing time, took much longer than the
 // baseline; promoted: all requests are on the new version.
-func (u *baseline) slow(a Answer, promoted bool) bool {
-	if !u.known() {
+func (b *baseline) slow(a Answer, promoted bool) bool {
+	if !b.known() {
 		return false
 	}
 	factor, slack := slowFactor, firstEventSlack
@@ -62,6 +62,6 @@
 	case a.plain() && !promoted:
 		slack = plainSlack
 	}
-	limit := factor*u.mean*float64(max(a.Expected, time.Millisecond)) + float64(slack)
+	limit := factor*b.mean*float64(max(a.Expected, time.Millisecond)) + float64(slack)
 	return float64(a.net()) > limit
 }
--- a/rollout/observe.go
+++ b/rollout/observe.go
@@ -68,18 +68,18 @@
 	if a.Model == "" {
 		key.name = a.Route
 	}
-	u := c.baseline[key]
-	if u == nil {
-		u = &baseline{}
-		c.baseline[key] = u
+	b := c.baseline[key]
+	if b == nil {
+		b = &baseline{}
+		c.baseline[key] = b
 	}
 	r := a.Group.Rollout
 	if r == nil || a.Endpoint.Version != r.Target || r.State == fleet.RolloutDone {
 		if r != nil && !isFinal(r.State) {
-			c.observeOldLocked(u, a)
+			c.observeOldLocked(b, a)
 		}
 		if a.Took > 0 && !a.Failed {
-			u.add(a.net(), a.Expected)
+			b.add(a.net(), a.Expected)
 		}
 		return true
 	}
@@ -90,7 +90,7 @@
 	if !a.Pace {
 		t.answers++
 	}
-	c.compareLocked(t, u, a)
+	c.compareLocked(t, b, a)
 	src := Source{Instance: c.Instance, Boot: c.Boot, Service: r.Service, Ordered: r.Ordered, Route: a.evidenceRoute()}
 	counts := t.evidence.rows[src]
 	counts.Samples++
@@ -101,46 +101,47 @@
 		counts.Bad |= endpointBit(a.Endpoint.ID)
 	case c.Clock.Now().Before(t.ignoreSlowUntil):
 		return false // latency is not meaningful shortly after a loss
-	case a.Pace && !u.known():
+	case a.Pace && !b.known():
 		return false // without a baseline it would count as good in any case
-	case u.slow(a, !t.promotedAt.IsZero()):
+	case b.slow(a, !t.promotedAt.IsZero()):
 		counts.Slow++
 		counts.Bad |= endpointBit(a.Endpoint.ID)
 	}
 	t.evidence.update(src, counts, c.Clock.Now())
-	c.judgeLocked(a.Group, t)
+	c.haltIfBadLocked(a.Group, t)
 	return false
 }
 
 // observeOldLocked counts an answer of the old version.
-func (c *Controller) observeOldLocked(u *baseline, a Answer) {
+func (c *Controller) observeOldLocked(b *baseline, a Answer) {
 	t := c.trackerLocked(a.Group.Rollout)
 	if t.ordered != a.Group.Rollout.Ordered {
 		return
 	}
 	if !a.Pace {
 		t.answers++
-		c.countOldLocked(t, u, a)
+		c.countOldLocked(t, b, a)
 	}
-	c.compareLocked(t, u, a)
+	c.compareLocked(t, b, a)
 }
 
 // countOldLocked counts whether an answer of the old version failed or was slow, as the
 // reference for the new version.
-func (c *Controller) countOldLocked(t *tracker, u *baseline, a Answer) {
+func (c *Controller) countOldLocked(t *tracker, b *baseline, a Answer) {
 	src := Source{Instance: c.Instance, Boot: c.Boot, Service: a.Group.Rollout.Service, Ordered: a.Group.Rollout.Ordered, Route: a.oldRoute()}
 	counts := t.evidence.rows[src]
 	counts.Samples++
 	switch {
 	case a.Failed:
 		counts.Failed++
-	case u.slow(a, false):
+	case b.slow(a, false):
 		counts.Slow++
 	}
 	t.evidence.update(src, counts, c.Clock.Now())
 }
 
-func (c *Controller) judgeLocked(g *fleet.Group, t *tracker) {
+// haltIfBadLocked halts the version if the evidence shows that it is bad.
+func (c *Controller) haltIfBadLocked(g *fleet.Group, t *tracker) {
 	service := g.Rollout.Service
 	if t.halted {
 		return
--- a/rollout/plain_test.go
+++ b/rollout/plain_test.go
@@ -38,7 +38,8 @@
 	})
 }
 
-// Guards against a slow version of a service with few requests getting more of them than operators allow.
+// Guards against a slow version of a service with few requests getting more of them than
+// operators allow.
 func TestSlowVersionOfPlainServiceKeepsBoundOnExposure(t *testing.T) {
 	for _, slow := range []float64{0.3, 0.5, 0.7} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -469,8 +469,8 @@
 	}
 	x.is.Equal(stayed, 0)
 	x.is.True(moved > 30 && moved < 120)
-	_, _, told := e.Snapshot()
-	x.is.True(len(told) < 120) // only sessions that would move are exchanged
+	_, _, active := e.Snapshot()
+	x.is.True(len(active) < 120) // only sessions that would move are exchanged
 }
 
 // A new order for the same service starts without evidence.
--- a/rollout/sessions.go
+++ b/rollout/sessions.go
@@ -38,7 +38,7 @@
 // sessionPosition maps a session to [0, 1): sessions below a share are moved with it.
 func sessionPosition(hash uint32) float64 { return float64(hash) / (1 << 32) }
 
-func (s *sessions) note(hash uint32, at time.Time) {
+func (s *sessions) record(hash uint32, at time.Time) {
 	if old, ok := s.lastUsed[hash]; !ok || at.After(old) {
 		s.lastUsed[hash] = at
 	}
--- a/rollout/strata.go
+++ b/rollout/strata.go
@@ -32,7 +32,7 @@
 	doubtedWeight = 3
 )
 
-func (s *strata) note(q Request) {
+func (s *strata) count(q Request) {
 	if !q.stratified() {
 		return
 	}
--- a/rollout/strata_test.go
+++ b/rollout/strata_test.go
@@ -16,7 +16,7 @@
 		"many":              {"a": 50, "b": 20, "c": 10, "d": 10, "e": 5, "f": 5},
 		"one that is rare ": {"a": 500, "b": 500, "c": 20},
 	} {
-		for _, of := range []float64{largeShare, mediumShare, smallShare} {
+		for _, overall := range []float64{largeShare, mediumShare, smallShare} {
 			for _, doubt := range []string{"", "a", "b"} {
 				is := is.New(t)
 				s := strata{requests: requests}
@@ -24,12 +24,12 @@
 					s.total += n
 				}
 				sum := 0.0
-				for route, share := range s.allocate(of, func(route string) bool { return route == doubt }) {
+				for route, share := range s.allocate(overall, func(route string) bool { return route == doubt }) {
 					is.True(share > 0 && share <= 1)
 					sum += share * s.trafficShare(route)
 				}
-				t.Log(name, of, doubt, sum)
-				is.True(sum > of-1e-9 && sum < of+1e-9) // the overall share is kept
+				t.Log(name, overall, doubt, sum)
+				is.True(sum > overall-1e-9 && sum < overall+1e-9) // the overall share is kept
 			}
 		}
 	}
--- a/rollout/trial.go
+++ b/rollout/trial.go
@@ -188,7 +188,7 @@
 		counts.Bad |= endpointBit(trial.Endpoint.ID)
 	}
 	t.evidence.update(src, counts, c.Clock.Now())
-	c.judgeLocked(g, t)
+	c.haltIfBadLocked(g, t)
 }
 
 // failedTrial reports whether the version failed its trial: on both endpoints, or on its
--- a/rollout/trial_test.go
+++ b/rollout/trial_test.go
@@ -65,8 +65,8 @@
 		x.clock.Advance(streamInterval)
 		now := x.clock.Now()
 		g := e.group()
-		first := e.Choose(g, Request{ID: fmt.Sprint(i)}).Preferred
-		ep := first[i%len(first)]
+		preferred := e.Choose(g, Request{ID: fmt.Sprint(i)}).Preferred
+		ep := preferred[i%len(preferred)]
 		running := load.run(ep.ID, now)
 		nth[ep.ID]++
 		e.Observe(Answer{Group: g, Endpoint: ep, Route: "r", Took: 50 * time.Millisecond, Failed: ep.Version == "v2" && fails(ep.ID, nth[ep.ID], running)})
