--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -10,8 +10,8 @@
 	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, get()) })
 }
 
-// Switches decodes the JSON body of PUT /fault into a T and passes it to set.
-func Switches[T any](mux *http.ServeMux, set func(T)) {
+// Faults decodes the JSON body of PUT /fault into a T and passes it to set.
+func Faults[T any](mux *http.ServeMux, set func(T)) {
 	Put(mux, "/fault", set)
 }
 
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,7 +1,7 @@
 // Package engine simulates a model engine. It serves one model version over
 // the OpenAI-style chat API, streams one token per step, runs concurrent
 // requests up to a capacity, keeps a bounded prefix cache, reports its load
-// with a lag and accepts orders that carry a fencing number. Injectable faults
+// with a lag and accepts orders that carry a fencing token. Injectable faults
 // are hanging requests, broken connections, failures and responses in the name
 // of another version.
 //
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -32,7 +32,7 @@
 	// of the weight store that a version is fetched from first.
 	LoadTime time.Duration
 	Weights  string
-	// IgnoreFencing makes the engine obey orders with an old fencing number, as
+	// IgnoreFencing makes the engine obey orders with an old fencing token, as
 	// some real engines do.
 	IgnoreFencing bool
 }
@@ -61,8 +61,8 @@
 	faults          Faults
 	loaded          string // model@version; empty while loading
 	draining        bool
-	fence           int64 // highest fencing number accepted
-	staleOrders     int64 // orders refused for an old fencing number
+	fence           int64 // highest fencing token accepted
+	staleOrders     int64 // orders refused for an old fencing token
 	inFlight        int
 	served          int64
 	refused         int64
@@ -104,7 +104,7 @@
 	StaleOrders int64            `json:"stale_orders_refused"`
 	Served      int64            `json:"served"`
 	Refused     int64            `json:"refused"`
-	Ran         map[string]int64 `json:"ran"`
+	Ran         map[string]int64 `json:"ran"` // requests run, by model@version
 	Cache       CacheState       `json:"cache"`
 	Faults      Faults           `json:"faults"`
 }
@@ -154,7 +154,7 @@
 	mux.HandleFunc("GET "+openai.PathLoad, func(w http.ResponseWriter, _ *http.Request) { control.WriteJSON(w, e.laggedLoad(time.Now())) })
 	mux.HandleFunc("POST "+openai.PathOrders, e.handleOrder)
 	control.State(mux, func() any { return e.State() })
-	control.Switches(mux, e.SetFaults)
+	control.Faults(mux, e.SetFaults)
 	return mux
 }
 
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -9,7 +9,7 @@
 	"github.com/lovageweir/lovageweir/openai"
 )
 
-// handleOrder executes an order unless its fencing number is lower than one
+// handleOrder executes an order unless its fencing token is lower than one
 // accepted before, which means that its sender has lost the lease it acted under.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o openai.Order
@@ -39,7 +39,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// acceptFence reports whether an order with fencing number n may be executed.
+// acceptFence reports whether an order with fencing token n may be executed.
 func (e *Engine) acceptFence(n int64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/kvserver/server.go
+++ b/standin/kvserver/server.go
@@ -298,6 +298,6 @@
 	handle(s, mux, api.PathRevoke, true, s.revoke)
 	mux.HandleFunc("POST "+api.PathWatch, s.watch)
 	control.State(mux, func() any { return s.State() })
-	control.Switches(mux, s.SetFaults)
+	control.Faults(mux, s.SetFaults)
 	return mux
 }
--- a/standin/raterd/rater.go
+++ b/standin/raterd/rater.go
@@ -101,6 +101,6 @@
 		defer r.mu.Unlock()
 		return State{Rated: r.rated, Settings: r.settings}
 	})
-	control.Switches(mux, r.Set)
+	control.Faults(mux, r.Set)
 	return mux
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -73,7 +73,7 @@
 		executions := s.Ran()
 		return State{Executions: len(executions), Ran: executions}
 	})
-	control.Switches(mux, s.SetFaults)
+	control.Faults(mux, s.SetFaults)
 	return mux
 }
 
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -29,7 +29,7 @@
 	return &Store{clock: clock, interval: interval, burst: max(burst, 1)}
 }
 
-// take takes a token and returns 0, or returns how long until one is available.
+// take returns 0 if it got a token, and otherwise how long until one is available.
 func (s *Store) take() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
