--- a/orders/orders.go
+++ b/orders/orders.go
@@ -36,8 +36,9 @@
 	Held() (fence kv.Revision, ok bool)
 }
 
-// Reports returns the model@version that an engine last reported as loaded, or "" if
-// there is no recent report; endpoints.Table implements it.
+// Reports holds the engines' latest reports; endpoints.Table implements it. Loaded
+// returns the model@version that an engine reported as loaded, or "" if there is no
+// recent report.
 type Reports interface {
 	Loaded(backend string) string
 }
@@ -53,7 +54,7 @@
 	log      *slog.Logger
 	hc       *http.Client
 
-	lastOrdered map[string]time.Time // only accessed by the goroutine that calls Round
+	lastOrdered map[string]time.Time // only accessed by the goroutine that calls Reconcile
 }
 
 // New returns a reconciler for domain. eligible reports whether this entry should
