--- a/idem/idem.go
+++ b/idem/idem.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// releaseOne reports whether ref is confirmed to hold its key no longer.
+// releaseOne tries to release a claim and reports whether the KV has confirmed that it
+// no longer exists.
 func (c *Claims) releaseOne(ctx context.Context, ref claimRef) bool {
 	_, kvs, err := c.kv.Get(ctx, ref.key, false)
 	if err != nil {
