--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -112,7 +112,7 @@
 // the entry was paused (SIGSTOP). Once a request has been routed under the new
 // configuration, none goes to v1 again. That even the first request after the pause
 // waits for the current configuration is tested with a fake clock in
-// configwatch.TestPausedEntryAsksBeforeItServes.
+// configwatch.TestResumedEntryRefreshesBeforeServing.
 func TestPausedEntryCatchesUp(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, clusterOptions{entries: 1})
