--- a/soak/callers.go
+++ b/soak/callers.go
@@ -35,14 +35,14 @@
 	status               int
 	complete             bool // the response was received up to its end
 	body                 string
-	late                 bool
+	late                 bool // not ended requestSlack after its deadline
 }
 
 // callers send requests over keep-alive connections until their context ends.
 type callers struct {
 	c       *cluster
 	seed    uint64
-	fragile bool // requests go to the fragile service, and one kind crashes its engines
+	fragile bool // most requests go to the fragile service, and one kind crashes its engines
 	series  bool // some callers keep long streams open, some use a new connection for each request
 
 	mu       sync.Mutex
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -73,7 +73,7 @@
 // entry is an entry process with the proxy between it and the store.
 type entry struct {
 	*process
-	callers    string
+	callers    string // address that it serves callers on
 	storeProxy *Proxy
 }
 
--- a/soak/fragile.go
+++ b/soak/fragile.go
@@ -20,13 +20,13 @@
 	fragileEngines     = 5
 	firstFragileNumber = 70 // number of its first engine
 	poisonBody         = "a body that crashes engines"
-	// poisonEvery: one in so many requests of the kind crashes engines.
+	// poisonEvery: one in so many requests to the fragile service crashes its engine.
 	poisonEvery = 6
 	// restartDelay is how long a crashed engine is down.
 	restartDelay = time.Second
-	// crashesToDetect is the number of crashes after which a request must be known to
-	// crash engines, crashesAfterDetection how many more are allowed once stablePeriod has
-	// passed since: the users' bounds.
+	// crashesToDetect is the number of crashes after which the entries must detect that a
+	// request crashes engines. They have stablePeriod for that; after it,
+	// crashesAfterDetection more crashes are allowed: the users' bounds.
 	crashesToDetect       = 3
 	crashesAfterDetection = 3
 	// advertisedLimit is the limit that the first fragile engine reports, in requests a
@@ -99,7 +99,8 @@
 	}
 }
 
-// recordCrash records that an engine has just ended, with all requests that ran there.
+// recordCrash records a fault of an engine that has just crashed, as the crash cut off all
+// requests that ran there.
 func (f *faultInjector) recordCrash(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,17 +120,17 @@
 	return out
 }
 
-// checkCrashes returns a finding if the request that crashes engines still reached them
-// after it had to be known, or "".
+// checkCrashes returns a finding if the request that crashes engines reached too many of
+// them after the time by which it had to be detected, or "".
 func (r *runLog) checkCrashes() string {
 	crashTimes := r.crashTimes()
 	if len(crashTimes) <= crashesToDetect {
 		return ""
 	}
-	known := crashTimes[crashesToDetect-1].Add(stablePeriod)
+	detectionDeadline := crashTimes[crashesToDetect-1].Add(stablePeriod)
 	late := 0
 	for _, at := range crashTimes {
-		if at.After(known) {
+		if at.After(detectionDeadline) {
 			late++
 		}
 	}
--- a/soak/lost.go
+++ b/soak/lost.go
@@ -13,11 +13,12 @@
 	// may have arrived: the users' bounds.
 	minGraceShare = 5. / 6
 	earlyInStop   = 3 * time.Second
-	// closeRaceWindow is how soon after its last byte a request must have met the
-	// closing of its connection to count as never read: the users' bound.
+	// closeRaceWindow: a request that no engine ran counts as never read if its
+	// connection closed within this time after its last byte was sent: the users'
+	// bound.
 	closeRaceWindow = 200 * time.Millisecond
-	// stablePeriod is how long before a request no other fault may have occurred
-	// where it went: the users' bound.
+	// stablePeriod is how long before a request its entry and its engine must have
+	// been without any other fault: the users' bound.
 	stablePeriod = 3 * time.Second
 )
 
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -44,8 +44,8 @@
 	return p, nil
 }
 
-// Set changes the mode. Open connections are reset if m is Reset, and when a mode ends
-// that drops bytes, as these are lost.
+// Set changes the mode. Open connections are reset if m is Reset, or if the previous mode
+// dropped bytes, as these are lost.
 func (p *Proxy) Set(m Mode) {
 	was := Mode(p.mode.Swap(int32(m)))
 	if m == Reset || was == Silent || was == OneWay {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -23,8 +23,8 @@
 	// Series: entries get planned stops that overlap, instead of single faults of
 	// every kind.
 	Series bool
-	// Fragile: requests go to the fragile service, one kind of them crashes its engines, and
-	// its first engine reports a rate limit.
+	// Fragile: most requests go to the fragile service, one kind of them crashes its engines,
+	// and its first engine reports a rate limit.
 	Fragile bool
 }
 
@@ -86,7 +86,7 @@
 	return s.report(f)
 }
 
-// report makes the checks that need the runs of the engines, at the end.
+// report makes the checks that need the engines' runs and returns the report of the soak.
 func (s *callers) report(f *faultInjector) (*Report, error) {
 	engineRuns, err := s.c.engineRuns()
 	if err != nil {
--- a/soak/stops.go
+++ b/soak/stops.go
@@ -85,7 +85,8 @@
 }
 
 // stopEntriesInSeries stops more than half of the entries, or all, shortly after one
-// another, so that their stops overlap, and repeats this until ctx ends.
+// another, so that their stops overlap, and repeats this until ctx ends. It does nothing
+// unless f.series is set.
 func (f *faultInjector) stopEntriesInSeries(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1)) // f.rng is used concurrently
 	for f.series && ctx.Err() == nil {
