--- a/command/dump/dump.go
+++ b/command/dump/dump.go
@@ -31,7 +31,7 @@
 			}
 		}
 		if failed > 0 {
-			return trace.ConnectionProblem(nil, "no state dump from %d of %d processes", failed, len(*urls))
+			return trace.ConnectionProblem(nil, "%d of %d processes gave no dump", failed, len(*urls))
 		}
 		return nil
 	})
--- a/command/explain/explain.go
+++ b/command/explain/explain.go
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 )
 
-// eventWindow is how long before a request's end log lines of its entry are listed
-// with it: a change in that time may be the cause of the outcome.
+// eventWindow is the time before the end of a request from which other log lines of
+// its entry are listed: a change in that time may be the cause of the outcome.
 const eventWindow = 10 * time.Second
 
 // Register adds the subcommand to app.
--- a/command/standin/standin.go
+++ b/command/standin/standin.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// registerEngines adds a stand-in for every engine of a configuration folder in one
-// process, for measurements at size and for the example configurations.
+// registerEngines runs stand-ins for all back ends of a configuration folder in one
+// process, for measurements at the target size and for the example configurations.
 func registerEngines(parent *kingpin.CmdClause) {
 	cmd := parent.Command("engines", "Every engine of a configuration folder, in one process.")
 	dir := cmd.Arg("dir", "Configuration folder.").Required().ExistingDir()
