--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Retry parameters of Persist.
+// Retry parameters of RetryFor.
 const (
 	// tryTimeout bounds one attempt: a connection that has gone silent is
 	// abandoned then, and the next attempt uses another. The platform answers
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// Addr returns the address that is served. It must be called after Use or Start.
+// Addr returns the address that is served. It must be called after SetListener or
+// Start.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
 // CloseIdle closes idle connections and disables keep-alives, so that each
--- a/internal/synth/synth.go
+++ b/internal/synth/synth.go
@@ -24,7 +24,7 @@
 // Target is the target size in the requirements: 3,600 engines over 13 failure
 // domains and 17 model versions (here 9 models with 2 versions each). The
 // requirements give no customer count; 2,000 is an assumption, 200 times the
-// number when it was made.
+// number of customers at the time.
 var Target = Size{Customers: 2000, Models: 9, VersionsPerModel: 2, Backends: 3600, Domains: 13}
 
 // ModelName returns the name of model i.
