--- a/rollout/choose.go
+++ b/rollout/choose.go
@@ -87,7 +87,7 @@
 	}
 	sum := t.evidence.totals()
 	seen := sum.Samples
-	age := c.Clock.Since(t.seen)
+	age := c.Clock.Since(t.orderedAt)
 	inDoubt := t.evidence.inDoubt(c.decisionProgressLocked(t, r))
 	if inDoubt {
 		t.lastDoubtAt = c.Clock.Now()
@@ -102,7 +102,7 @@
 	// do not fall behind the others.
 	t.promotedAt = c.Clock.Now()
 	slower, _ := t.evidence.slower()
-	latest := t.seen.Add(time.Duration(fullShareBy * float64(r.Duration)))
+	latest := t.orderedAt.Add(time.Duration(fullShareBy * float64(r.Duration)))
 	if latest.Before(t.promotedAt) && t.lastDoubtAt.Before(latest) {
 		t.promotedAt = latest
 	}
@@ -114,7 +114,7 @@
 // late reports whether the entry learned of the order late, for example because it was
 // started after the order.
 func (t *tracker) late(total time.Duration) bool {
-	return progress(t.learnedAt.Sub(t.seen), total) >= lateFrom
+	return progress(t.learnedAt.Sub(t.orderedAt), total) >= lateFrom
 }
 
 // lateShareLocked returns the share of an entry that learned of the order late and has seen
@@ -164,7 +164,7 @@
 // expectedCanaryAnswersLocked estimates the number of canary answers from the rate at which
 // the old version answers.
 func (c *Controller) expectedCanaryAnswersLocked(t *tracker, r *fleet.Rollout, share float64) float64 {
-	elapsed := progress(c.Clock.Since(t.seen), r.Duration)
+	elapsed := progress(c.Clock.Since(t.orderedAt), r.Duration)
 	if elapsed <= 0 {
 		return 0
 	}
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -120,7 +120,7 @@
 func (c *Controller) compareLocked(t *tracker, b *baseline, a Answer) {
 	now := c.Clock.Now()
 	if a.plain() || a.Failed || a.Took <= 0 || !t.promotedAt.IsZero() || !b.known() ||
-		progress(now.Sub(t.seen), a.Group.Rollout.Duration) < comparisonFrom {
+		progress(now.Sub(t.orderedAt), a.Group.Rollout.Duration) < comparisonFrom {
 		return
 	}
 	kind := firstEvents
@@ -266,7 +266,7 @@
 // bad before callers' requests alone would show it. The limits then reach their final
 // values sooner, in time for the operators' bound on halting it.
 func (c *Controller) decisionProgressLocked(t *tracker, r *fleet.Rollout) float64 {
-	age := c.Clock.Since(t.seen)
+	age := c.Clock.Since(t.orderedAt)
 	p := progress(age, r.Duration)
 	exposed := float64(t.evidence.totals().Samples) + float64(t.copies*max(1, len(c.View().Entries)))
 	if exposed < minExposed || age <= 0 {
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -68,7 +68,7 @@
 type tracker struct {
 	ordered         kv.Revision
 	learnedAt       time.Time // when this entry learned of the order
-	seen            time.Time // when the order was given, as far as known here
+	orderedAt       time.Time // when the order was given, as far as known here
 	holdingHalf     bool      // half of the requests until enough answers are seen
 	halted          bool
 	promotedAt      time.Time // when the share was raised above the canary share
@@ -100,7 +100,7 @@
 func (c *Controller) trackerLocked(r *fleet.Rollout) *tracker {
 	t := c.trackers[r.Service]
 	if t == nil || t.ordered < r.Ordered {
-		t = &tracker{ordered: r.Ordered, learnedAt: c.Clock.Now(), seen: c.Clock.Now(), evidence: newEvidence()}
+		t = &tracker{ordered: r.Ordered, learnedAt: c.Clock.Now(), orderedAt: c.Clock.Now(), evidence: newEvidence()}
 		c.trackers[r.Service] = t
 	}
 	return t
@@ -127,7 +127,7 @@
 	out := make([]State, 0, len(c.trackers))
 	for s, t := range c.trackers {
 		sum := t.evidence.totals()
-		row := State{Service: s, Order: int64(t.ordered), AgeMS: c.Clock.Since(t.seen).Milliseconds(), Halted: t.halted,
+		row := State{Service: s, Order: int64(t.ordered), AgeMS: c.Clock.Since(t.orderedAt).Milliseconds(), Halted: t.halted,
 			Samples: sum.Samples, Failed: sum.Failed, Slow: sum.Slow}
 		if g := v.Group(s); g != nil {
 			row.Withdrawn = g.Withdrawn.Versions
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -42,10 +42,10 @@
 		if g.Rollout.State == fleet.RolloutRolledBack {
 			// An entry with a stale copy of the store treats the order as running, and this
 			// one may never have halted the version itself.
-			states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: true})
+			states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.orderedAt), Halted: true})
 			continue
 		}
-		states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.seen), Halted: t.halted,
+		states = append(states, OrderState{Service: service, Ordered: t.ordered, Age: c.Clock.Since(t.orderedAt), Halted: t.halted,
 			Promoted: !t.promotedAt.IsZero(), PromotedAgo: c.Clock.Since(t.promotedAt)})
 		for s, n := range t.evidence.rows {
 			rows = append(rows, Row{s, n})
@@ -67,8 +67,8 @@
 		if t == nil {
 			continue
 		}
-		if seen := c.Clock.Now().Add(-o.Age); seen.Before(t.seen) {
-			t.seen = seen
+		if seen := c.Clock.Now().Add(-o.Age); seen.Before(t.orderedAt) {
+			t.orderedAt = seen
 		}
 		if o.Promoted && t.promotedAt.IsZero() && t.late(v.Group(o.Service).Rollout.Duration) {
 			t.promotedAt = c.Clock.Now().Add(-o.PromotedAgo)
--- a/rollout/observe.go
+++ b/rollout/observe.go
@@ -160,7 +160,7 @@
 		"samples", sum.Samples, "failed", sum.Failed, "slow", sum.Slow, "failed_statistic", onRoute.failed, "few_statistic", t.evidence.lowRateStatistic(route), "slow_statistic", onRoute.slow, "slower_by", slower.deviations,
 		"route_samples", paired.version.Samples, "route_failed", paired.version.Failed, "route_slow", paired.version.Slow,
 		"old_samples", paired.old.Samples, "old_failed", paired.old.Failed, "old_slow", paired.old.Slow,
-		"age_ms", c.Clock.Since(t.seen).Milliseconds())
+		"age_ms", c.Clock.Since(t.orderedAt).Milliseconds())
 }
 
 // slowAgainstOldLocked reports whether the version is slower than the old one, and on which
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -33,7 +33,7 @@
 	switch {
 	case t.halted:
 		want = fleet.RolloutRolledBack
-	case CompletionDue(now.Sub(t.seen), r.Duration) && hasVersion(g.Ready, r.Target) && c.settledLocked(t, g):
+	case CompletionDue(now.Sub(t.orderedAt), r.Duration) && hasVersion(g.Ready, r.Target) && c.settledLocked(t, g):
 		want = fleet.RolloutDone
 	}
 	if want == r.State {
--- a/rollout/trial.go
+++ b/rollout/trial.go
@@ -131,7 +131,7 @@
 
 // trialIndexLocked returns the index of the endpoint under trial, or -1 if there is none.
 func (c *Controller) trialIndexLocked(t *tracker, r *fleet.Rollout) int {
-	p := progress(c.Clock.Since(t.seen), r.Duration)
+	p := progress(c.Clock.Since(t.orderedAt), r.Duration)
 	if p < trialFrom || p >= trialEnd {
 		return -1
 	}
@@ -148,7 +148,7 @@
 // copyLimitLocked returns how many copies this entry may send in total: what the bound on
 // exposure leaves besides the canary share, extrapolated from the request rate so far.
 func (c *Controller) copyLimitLocked(t *tracker, r *fleet.Rollout, older, entries int) int {
-	p := progress(c.Clock.Since(t.seen), r.Duration)
+	p := progress(c.Clock.Since(t.orderedAt), r.Duration)
 	if p <= 0 {
 		return 0
 	}
@@ -206,12 +206,12 @@
 func (c *Controller) giveUpTrialLocked(r *fleet.Rollout, t *tracker) {
 	first := t.evidence.countsOn(trialRoutes[0])
 	if t.halted || !t.promotedAt.IsZero() || first.Failed < trialFailed || !t.evidence.trialDoubt() ||
-		progress(c.Clock.Since(t.seen), r.Duration) < trialGiveUpAt {
+		progress(c.Clock.Since(t.orderedAt), r.Duration) < trialGiveUpAt {
 		return
 	}
 	t.halted = true
 	c.Log.Warn("rollout: version failed its trial at one endpoint and was not shown to be well at another; halting it.", "service", r.Service,
-		"order", t.ordered, "samples", first.Samples, "failed", first.Failed, "age_ms", c.Clock.Since(t.seen).Milliseconds())
+		"order", t.ordered, "samples", first.Samples, "failed", first.Failed, "age_ms", c.Clock.Since(t.orderedAt).Milliseconds())
 }
 
 // trialDoubt reports whether the first endpoint failed and the second has not shown that
