--- a/configwatch/faults_test.go
+++ b/configwatch/faults_test.go
@@ -176,8 +176,8 @@
 // that has no connection to the KV, or a broken watch, and stays on an old
 // revision although its peers are up to date. One entry reads a change from the
 // KV; the other receives only its digest, and its first pull fails.
-// A peer's confirmation counts only if this entry requested the digest, because
-// an unrequested one may have waited in a socket buffer during a pause.
+// A digest confirms that a revision is current only if this entry requested it,
+// because an unrequested digest may have waited in a socket buffer during a pause.
 func TestTopicPullsNewerRevisionFromPeer(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -191,7 +191,7 @@
 	l.limitCount.Store(int32(len(l.byID)))
 }
 
-// ttl returns how long the state of the limit is valid without confirmation.
+// ttl returns how long the state of the limit is valid after its last update.
 func (e *limitedEndpoint) ttl() time.Duration {
 	if e.limit <= 0 {
 		return removedTTL
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -4,7 +4,7 @@
 // A repeated request loads endpoints twice. When endpoints fail because of overload,
 // unbounded repeats keep them overloaded. The operators bound the repeats of all entries
 // together over a sliding window. Each entry applies the same ratio to its own requests and
-// takes an equal part of the extra allowance. It may overdraw its part slightly while the
+// takes an equal part of Bounds.Extra. It may overdraw its part slightly while the
 // entries that report their counts leave room: at a few requests a second, random variation
 // makes one entry short of repeats that others have to spare.
 package retry
@@ -149,7 +149,7 @@
 }
 
 // allowsOneMore reports whether the bound allows one more repeat on top of a count; extra is
-// the part of the extra allowance that applies.
+// the part of Bounds.Extra that applies.
 func (b *Budget) allowsOneMore(c Count, extra float64, purpose Purpose) bool {
 	return c.usedFor(purpose)+1 <= b.allowed(c, extra, purpose)
 }
