--- a/mesh/loads.go
+++ b/mesh/loads.go
@@ -25,7 +25,7 @@
 	// work that other entries need to know of is published at once. With periodic datagrams
 	// only, 195 entries sharing 124 engines knew too little of each other's long prompts and
 	// the 90th percentile of the wait at an engine was 305 ms; with both it is 82 ms for as
-	// many datagrams (place.TestACrowdOfEntriesDoesNotHerd).
+	// many datagrams (place.TestLargeFleetSpreadsLoad).
 	publishInterval    = 250 * time.Millisecond
 	largeFleetInterval = time.Second
 	// datagramInterval is the average time between datagrams sent by one entry, so that an
